--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -132,7 +132,7 @@
         found["peak_100ms"] = peak
 
     world.run(main())
-    world.bury()
+    world.close()
     return found
 
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -26,7 +26,7 @@
 from benchmarks.bed import Bed, free_port, memory_mb
 from stackpitch.loop import RealFiles
 from stackpitch.membership.entries import Entry, digest
-from stackpitch.membership.store import Kept, Store
+from stackpitch.membership.store import AppliedList, Store
 
 
 def listed(size: int, version: int) -> str:
@@ -98,7 +98,7 @@
         Entry(name=f"s{n}", host="127.0.0.1", port=1024 + n % 60000, kind="reader") for n in range(size)
     )
     told = digest(entries)
-    record = Kept(0, "file", 1, told, entries)
+    record = AppliedList(0, "file", 1, told, entries)
 
     def timed(call: Callable[[int], object]) -> list[float]:
         found = []
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from stackpitch.loop import MS, SECOND, Coro, Group, Lost, RealWorld, Stream
+from stackpitch.loop import MS, SECOND, ConnectionLost, Coro, Group, RealWorld, Stream
 from stackpitch.wire import engine, http, sse
 
 HOST = "127.0.0.1"
@@ -67,7 +67,7 @@
                     elif number % 32 == 31:
                         yield from world.pause()
                 stream.write(http.chunk(sse.DONE) + http.LAST_CHUNK)
-        except Lost:
+        except ConnectionLost:
             pass
         finally:
             stream.close()
@@ -89,7 +89,7 @@
                 there.write(data)
                 if there.buffered > 1 << 18:
                     yield from there.drain(1 << 17)
-        except Lost:
+        except ConnectionLost:
             pass
         finally:
             there.close()
@@ -154,7 +154,7 @@
             while not reader.complete:
                 data = yield from stream.recv()
                 if not data:
-                    raise Lost("closed")
+                    raise ConnectionLost("closed")
                 reader.feed(data)
                 if reader.status != 200:
                     counts[1] += 1
--- a/soak/mutants/answers.py
+++ b/soak/mutants/answers.py
@@ -7,7 +7,7 @@
 
 from soak.mutants.acting import Mutant, acted, every, patch
 from stackpitch.gateway import leg as attempts
-from stackpitch.loop import MS, SECOND, Lost, Time
+from stackpitch.loop import MS, SECOND, ConnectionLost, Time
 from stackpitch.platform.ask import PlatformAsk
 from stackpitch.platform.leg import PlatformLeg
 from stackpitch.wire import http
@@ -21,7 +21,7 @@
 
 def _write_later(client: Any, at: Time, data: bytes) -> bool:
     def write() -> None:
-        with suppress(Lost):
+        with suppress(ConnectionLost):
             client.write(data)
 
     client.world.at(at, write)
--- a/soak/mutants/held.py
+++ b/soak/mutants/held.py
@@ -109,7 +109,7 @@
 
     def noted(self: Any, stream: Any, most: int = 65536) -> Coro[bytes]:
         data = yield from more(self, stream, most)
-        heard[self.leg.server.name] = stream.came
+        heard[self.leg.server.name] = stream.arrived_at
         return data
 
     patch(LegRun, "_more", noted)
--- a/stackpitch/cli/commands/settings.py
+++ b/stackpitch/cli/commands/settings.py
@@ -21,9 +21,9 @@
 @SET
 def check(config: Path, sets: tuple[str, ...]) -> None:
     """Check settings, and the fleet's file that they name."""
-    from stackpitch.membership.bundle import read_set
+    from stackpitch.membership.bundle import read_bundle
 
-    found = read_set(config, given(sets))
+    found = read_bundle(config, given(sets))
     if found.problems:
         click.echo("\n".join(found.problems), err=True)
         sys.exit(1)
--- a/stackpitch/cli/expect.py
+++ b/stackpitch/cli/expect.py
@@ -22,7 +22,7 @@
 from stackpitch.expect.layout import layout
 from stackpitch.expect.parse import BadStatement, read_page
 from stackpitch.loop import MS, Coro, RealWorld
-from stackpitch.membership.bundle import meaning
+from stackpitch.membership.bundle import validate_fleet
 from stackpitch.settings import Fleet, Settings
 
 SAMPLED = 24  # servers of which a change is tried, unless told otherwise
@@ -48,7 +48,7 @@
     if fleet is None and not path.is_absolute() and not path.exists():
         path = config.parent / path
     listed = settings_package.read(Fleet, path)
-    if wrong := meaning(listed, settings):
+    if wrong := validate_fleet(listed, settings):
         raise settings_package.BadSettings("\n".join(f"{path}: {one}" for one in wrong))
     return Given(settings, listed)
 
--- a/stackpitch/cli/fleet.py
+++ b/stackpitch/cli/fleet.py
@@ -15,9 +15,9 @@
 from stackpitch.expect.book import Book, Plan
 from stackpitch.expect.deployment import deployment
 from stackpitch.expect.judge import Judge, Play, Variant
-from stackpitch.loop import SECOND, ConnectFailed, Coro, Lost, RealWorld
-from stackpitch.membership.bundle import entries_of, meaning
-from stackpitch.membership.entries import Change, change, digest
+from stackpitch.loop import SECOND, ConnectFailed, ConnectionLost, Coro, RealWorld
+from stackpitch.membership.bundle import build_entries, validate_fleet
+from stackpitch.membership.entries import Change, diff, digest
 from stackpitch.settings import BadSettings, Fleet, Settings
 from stackpitch.wire import http
 
@@ -42,30 +42,30 @@
                 while not reader.complete:
                     data = yield from stream.recv()
                     if not data:
-                        raise Lost("closed")
+                        raise ConnectionLost("closed")
                     reader.feed(data)
                     pieces += reader.pieces
                 return reader.status, msgspec.json.decode(b"".join(pieces))
-            raise Lost("no answer in 15 s")
+            raise ConnectionLost("no answer in 15 s")
         finally:
             stream.close()
 
     try:
         return world.run(ask())
-    except (Lost, ConnectFailed, http.BadMessage, msgspec.DecodeError) as wrong:
+    except (ConnectionLost, ConnectFailed, http.BadMessage, msgspec.DecodeError) as wrong:
         raise NoAnswer(f"{address[0]}:{address[1]}: {wrong}") from None
 
 
 def checked(path: Path, settings: Settings) -> Fleet:
     """Raises BadSettings."""
     fleet = settings_package.read(Fleet, path)
-    if wrong := meaning(fleet, settings):
+    if wrong := validate_fleet(fleet, settings):
         raise BadSettings("\n".join(f"{path}: {one}" for one in wrong))
     return fleet
 
 
 def told(fleet: Fleet) -> str:
-    return digest(entries_of(fleet, {}, ""))
+    return digest(build_entries(fleet, {}, ""))
 
 
 def shares(settings: Settings, fleet: Fleet) -> Shares:
@@ -90,8 +90,9 @@
 
 
 def differ(old: Fleet, new: Fleet) -> Change:
-    return change(
-        {one.name: one for one in entries_of(old, {}, "")}, {one.name: one for one in entries_of(new, {}, "")}
+    return diff(
+        {one.name: one for one in build_entries(old, {}, "")},
+        {one.name: one for one in build_entries(new, {}, "")},
     )
 
 
--- a/stackpitch/kept/log.py
+++ b/stackpitch/durable/log.py
@@ -14,14 +14,14 @@
 
 HEAD = struct.Struct("<HI")  # format, checksum of the magic and the format
 FRAME = struct.Struct("<II")  # length and checksum of what follows
-LARGEST = 64 << 20
+MAX_RECORD_BYTES = 64 << 20
 
 
 def header(magic: bytes, form: int) -> bytes:
     return magic + HEAD.pack(form, crc32(magic + struct.pack("<H", form)))
 
 
-def framed(body: bytes) -> bytes:
+def frame(body: bytes) -> bytes:
     return FRAME.pack(len(body), crc32(body)) + body
 
 
@@ -30,7 +30,7 @@
     while at + FRAME.size <= len(raw):
         size, checksum = FRAME.unpack_from(raw, at)
         body = raw[at + FRAME.size : at + FRAME.size + size]
-        if size > LARGEST or len(body) < size or crc32(body) != checksum:
+        if size > MAX_RECORD_BYTES or len(body) < size or crc32(body) != checksum:
             return
         at += FRAME.size + size
         yield body, at
@@ -50,15 +50,15 @@
         magic: bytes,
         form: int,
         what: str,
-        whole: Callable[[], Iterable[bytes]],
-        most: int = 8 << 20,
+        snapshot: Callable[[], Iterable[bytes]],
+        max_bytes: int = 8 << 20,
     ) -> None:
         self.files, self.path, self.magic, self.form, self.what = files, path, magic, form, what
-        self.whole, self.most = whole, most
-        self.trouble, self.found = "", ""
-        self.read = False  # what the file holds is known; until then it is not written
+        self.snapshot, self.max_bytes = snapshot, max_bytes
+        self.error, self.recovery_note = "", ""
+        self.loaded = False  # what the file holds is known; until then it is not written
         self.descriptor: int | None = None
-        self.good = 0  # bytes that are known to be whole
+        self.valid_size = 0  # bytes that are known to be whole
         self.rewritten = 0  # bytes right after the last rewriting
 
     def open(self, take: Callable[[bytes], bool]) -> None:
@@ -81,8 +81,8 @@
             self._fail(wrong)
             self._close(descriptor)
             return
-        self.read, self.trouble = True, ""
-        self.good = self._take_all(raw, take)
+        self.loaded, self.error = True, ""
+        self.valid_size = self._take_all(raw, take)
         self._mend(raw)
 
     def _is_ours(self, raw: bytes) -> bool:
@@ -99,7 +99,7 @@
             if known and form != self.form
             else f"no {self.what}, or its head is damaged"
         )
-        self.found = f"{self.path} was {what}; it is now {aside}"
+        self.recovery_note = f"{self.path} was {what}; it is now {aside}"
 
     def _take_all(self, raw: bytes, take: Callable[[bytes], bool]) -> int:
         """Bytes up to the first record that is not whole, or not of this format's kinds."""
@@ -121,12 +121,10 @@
                 self._write(self.descriptor, head)
                 self.files.sync(self.descriptor)
                 self.files.sync_folder(os.path.dirname(os.path.abspath(self.path)))  # or the name may be lost
-                self.good = len(head)
-            elif self.good < len(raw):
-                self.found = (
-                    f"{self.path}: {len(raw) - self.good} bytes at its end were not whole and are dropped"
-                )
-                self.files.truncate(self.descriptor, self.good)
+                self.valid_size = len(head)
+            elif self.valid_size < len(raw):
+                self.recovery_note = f"{self.path}: dropped {len(raw) - self.valid_size} bytes of incomplete records at the end"
+                self.files.truncate(self.descriptor, self.valid_size)
         except OSError as wrong:
             self._fail(wrong)
 
@@ -145,35 +143,35 @@
             data = data[self.files.write(descriptor, data) :]
 
     def _fail(self, wrong: OSError) -> None:
-        self.trouble = f"{self.path}: {wrong.strerror or wrong}"
+        self.error = f"{self.path}: {wrong.strerror or wrong}"
 
     def add(self, body: bytes, sync: bool = True) -> bool:
         """Whether it is on disk now. After trouble the file is written anew from `whole`, which has to hold what could
         not be written. A file that could not be read is never replaced: `open` it again first."""
-        if not self.read:
+        if not self.loaded:
             return False
         try:
-            if self.descriptor is None or self.trouble:
+            if self.descriptor is None or self.error:
                 self._rewrite()  # the file may hold half a record, or none of the last ones
-            elif self.good > max(self.most, 2 * self.rewritten):
+            elif self.valid_size > max(self.max_bytes, 2 * self.rewritten):
                 self._rewrite()
             else:
-                data = framed(body)
+                data = frame(body)
                 self._write(self.descriptor, data)
                 if sync:
                     self.files.sync(self.descriptor)
-                self.good += len(data)
+                self.valid_size += len(data)
         except OSError as wrong:
             self._fail(wrong)
             return False
-        self.trouble = ""
+        self.error = ""
         return True
 
     def _rewrite(self) -> None:
         beside = f"{self.path}.new"
         fresh = self.files.open(beside, create=True, empty=True)
         try:
-            parts = [header(self.magic, self.form), *map(framed, self.whole())]
+            parts = [header(self.magic, self.form), *map(frame, self.snapshot())]
             self._write(fresh, b"".join(parts))
             self.files.sync(fresh)
             self.files.rename(beside, self.path)
@@ -181,8 +179,8 @@
         except BaseException:
             self._close(fresh)
             raise
-        old, self.descriptor, self.good = self.descriptor, fresh, sum(map(len, parts))
-        self.rewritten = self.good
+        old, self.descriptor, self.valid_size = self.descriptor, fresh, sum(map(len, parts))
+        self.rewritten = self.valid_size
         if old is not None:
             self._close(old)
 
--- a/stackpitch/duties/carrier/duties.py
+++ b/stackpitch/duties/carrier/duties.py
@@ -45,7 +45,7 @@
 
     def _body(self, group: Group) -> Coro[None]:
         yield from ()
-        figures, start = self.figures, self.world.fresh()
+        figures, start = self.figures, self.world.unique_id()
         for duty in figures.names:
             self.desk.ownings[duty] = Owning(
                 self.world,
@@ -72,7 +72,7 @@
             one.leave()
         if owned:
             with self.world.limit(self.figures.call):
-                while self.posts.turns.open or any(one.scope is not None for one in owned):
+                while self.posts.turns.in_use or any(one.scope is not None for one in owned):
                     yield from self.world.sleep(5 * MS)
 
     def take(self, body: bytes) -> Coro[tuple[int, bytes]]:
--- a/stackpitch/duties/carrier/posts.py
+++ b/stackpitch/duties/carrier/posts.py
@@ -9,7 +9,7 @@
 from stackpitch.duties.calls import ANSWER, ENCODER, FORM, LARGEST, Answer, Call, Stamp, raw
 from stackpitch.duties.carrier.figures import Figures
 from stackpitch.exchange import asked
-from stackpitch.loop import Coro, Turns, World
+from stackpitch.loop import Coro, Semaphore, World
 from stackpitch.wire import http
 
 NO_TERM = Stamp()
@@ -20,7 +20,7 @@
 
     def __init__(self, world: World, figures: Figures, here: Callable[[Call], Coro[Answer]]) -> None:
         self.world, self.figures, self.here = world, figures, here
-        self.turns = Turns(world, figures.max_calls)
+        self.turns = Semaphore(world, figures.max_calls)
         self.counts: Counter[tuple[str, str]] = Counter()
 
     def send(
@@ -49,13 +49,13 @@
         request = http.request(
             "POST", "/duty", figures.fleet, ENCODER.encode(call), [("connection", "close")]
         )
-        yield from self.turns.take()  # bounded by the calls before it, each of which ends within its limit
+        yield from self.turns.acquire()  # bounded by the calls before it, each of which ends within its limit
         try:
             if not look():
                 return None
             reader = yield from asked(self.world, figures.addresses[number], figures.call, request, LARGEST)
         finally:
-            self.turns.give()
+            self.turns.release()
         answer = None
         if reader is not None and reader.status == 200:
             try:
--- a/stackpitch/duties/carrier/voting.py
+++ b/stackpitch/duties/carrier/voting.py
@@ -17,7 +17,7 @@
 from stackpitch.duties.ownership.vacancy import APART, Vacancy, order
 from stackpitch.duties.ownership.voter import Promise, Voter
 from stackpitch.duties.record.register import Kept
-from stackpitch.loop import SECOND, Coro, Group, Task, Time, Turns, World
+from stackpitch.loop import SECOND, Coro, Group, Semaphore, Task, Time, World
 
 QUEUE = "votes"  # of its file: a voter must not wait while gigabytes of weights are written
 KINDS = frozenset({"would", "lease", "release", "read", "write"})
@@ -56,7 +56,7 @@
         self.joined = self.opened = False
         self.older = False  # its file turned out to be an older copy
         self.seen: dict[int, int] = {}
-        self.turns = Turns(world)
+        self.turns = Semaphore(world)
         self.vacancies = {duty: Vacancy(order(duty, figures.gateways)) for duty in figures.names}
         self.open: dict[str, bool] = {}  # duties whose vacancy has begun
         self.teller: Task | None = None
@@ -66,7 +66,7 @@
 
     def run(self) -> Coro[None]:
         try:
-            yield from self.world.aside(self.ballots.open, QUEUE)
+            yield from self.world.run_blocking(self.ballots.open, QUEUE)
         except VoterError as wrong:
             self.log.error("voter_out", why=str(wrong), kind=type(wrong).__name__)
             return
@@ -74,8 +74,8 @@
         self.seen = {
             number: serial for number, serial in self.ballots.seen.items() if number in self.figures.voters
         }
-        if self.ballots.log.found:
-            self.log.warning("voter_file", what=self.ballots.log.found)
+        if self.ballots.log.recovery_note:
+            self.log.warning("voter_file", what=self.ballots.log.recovery_note)
         try:
             yield from self._join()
             self.teller = self.world.current
@@ -94,12 +94,12 @@
             if decision.promises is not None:
                 self.ballots.seen = dict(self.seen)
                 if (
-                    yield from self.world.aside(
+                    yield from self.world.run_blocking(
                         partial(self.ballots.begin, dict(decision.promises), decision.serial), QUEUE
                     )
                 ):
                     break
-                decision = Decision("wait", str(DiskFailed(self.figures.file, self.ballots.log.trouble)))
+                decision = Decision("wait", str(DiskFailed(self.figures.file, self.ballots.log.error)))
             if decision.why != said and self.world.now() - begun > SECOND:
                 said = decision.why
                 if decision.word == "lost":
@@ -183,7 +183,7 @@
             return Answer("yes", body=raw(self.state(call.sender)))
         if not self.joined:
             return Answer("not voting yet")
-        yield from self.turns.take()
+        yield from self.turns.acquire()
         try:
             answer = self._decided(call)
             if self.voter.dirty and answer.yes and not (yield from self._saved()):
@@ -191,10 +191,10 @@
             if (
                 self.seen != self.ballots.seen
             ):  # a failing disk takes no lease away for it; written with what comes next
-                yield from self.world.aside(partial(self.ballots.see, dict(self.seen)), QUEUE)
+                yield from self.world.run_blocking(partial(self.ballots.see, dict(self.seen)), QUEUE)
                 self._disk()
         finally:
-            self.turns.give()
+            self.turns.release()
         if call.kind == "lease" and answer.yes:
             return Answer("yes", answer.stamp, raw(Given(self.ballots.told)))
         return answer
@@ -224,7 +224,7 @@
         def write() -> bool:
             return all([self.ballots.save(duty, promise) for duty, promise in wanted.items()])
 
-        done = yield from self.world.aside(write, QUEUE)
+        done = yield from self.world.run_blocking(write, QUEUE)
         if done:
             for duty, promise in wanted.items():
                 if self.voter.promises[duty] == promise:
@@ -233,8 +233,8 @@
         return done
 
     def _disk(self) -> None:
-        if self.ballots.log.trouble != self.trouble:
-            self.trouble = self.ballots.log.trouble
+        if self.ballots.log.error != self.trouble:
+            self.trouble = self.ballots.log.error
             if self.trouble:
                 self.log.error("voter_disk", why=str(DiskFailed(self.figures.file, self.trouble)))
             else:
--- a/stackpitch/duties/ownership/ballots.py
+++ b/stackpitch/duties/ownership/ballots.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
+from stackpitch.durable.log import Log
 from stackpitch.duties.ownership.errors import FileOfAnother, FileTaken, FileUnreadable
 from stackpitch.duties.ownership.voter import Promise
-from stackpitch.kept.log import Log
 from stackpitch.loop import Files
 
 MAGIC, FORMAT = b"stackpitch voter\n", 1
@@ -67,8 +67,8 @@
         if not locked:
             raise FileTaken(self.path, "another process holds its lock")
         self.log.open(self._take)
-        if self.log.trouble:
-            raise FileUnreadable(self.path, self.log.trouble)
+        if self.log.error:
+            raise FileUnreadable(self.path, self.log.error)
         found = self.found
         if found is not None and (found.fleet, found.number) != (self.identity.fleet, self.identity.number):
             raise FileOfAnother(
--- a/stackpitch/duties/vocabulary/judging/ways.py
+++ b/stackpitch/duties/vocabulary/judging/ways.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from stackpitch.duties.vocabulary.judging.files import Files, Looked, Outcome, Task, judged, looked
-from stackpitch.loop import Coro, Lost, Time, World
+from stackpitch.loop import ConnectionLost, Coro, Time, World
 from stackpitch.wire.decoding import decode
 
 MOST = 64 << 20  # bytes of a child's answer
@@ -72,7 +72,7 @@
                     size += len(data)
             raw = b"".join(parts)
             return raw[:-1] if raw.endswith(b"\n") and not scope.expired and size <= MOST else b""
-        except Lost:
+        except ConnectionLost:
             return b""
         finally:
             stream.close()
--- a/stackpitch/duties/weights/lastgood.py
+++ b/stackpitch/duties/weights/lastgood.py
@@ -1,14 +1,14 @@
 """The last good wanted file, kept beside the weights, so that a start while the file is wrong goes on with it.
 
-Calls block: run them aside. One value; a crash at any byte leaves the one before or this one (`kept.log`).
+Calls block: run them aside. One value; a crash at any byte leaves the one before or this one (`durable.log`).
 """
 
 import os
 
+from stackpitch.durable.log import MAX_RECORD_BYTES, Log
 from stackpitch.duties.weights.errors import WantedRejected
 from stackpitch.duties.weights.placing.disk import Disk
 from stackpitch.duties.weights.wanted import Wanted, checked_json
-from stackpitch.kept.log import LARGEST, Log
 from stackpitch.loop import Files
 
 MAGIC, FORMAT = b"stackpitch wanted\n", 1
@@ -20,18 +20,24 @@
     def __init__(self, files: Files, disk: Disk, path: str) -> None:
         self.disk, self.path, self.body, self.trouble = disk, path, b"", ""
         self.log = Log(
-            files, path, MAGIC, FORMAT, "kept wanted file", lambda: [self.body] if self.body else [], most=0
+            files,
+            path,
+            MAGIC,
+            FORMAT,
+            "kept wanted file",
+            lambda: [self.body] if self.body else [],
+            max_bytes=0,
         )
 
     @property
     def again(self) -> bool:
-        return bool(self.log.trouble)
+        return bool(self.log.error)
 
     def load(self) -> Wanted | None:
         """None: there is none, or it can't be read."""
         self._folder()
         self.log.open(self._take)
-        self.trouble = self.log.trouble
+        self.trouble = self.log.error
         try:
             return checked_json(self.body, self.path) if self.body else None
         except WantedRejected:  # kept by a version of the program that allowed other fields
@@ -43,18 +49,18 @@
 
     def _folder(self) -> None:
         try:
-            self.disk.folder(os.path.dirname(self.path))
+            self.disk.make_folder(os.path.dirname(self.path))
         except OSError:
             pass  # opening says why
 
     def save(self, wanted: Wanted) -> None:
         body = wanted.model_dump_json().encode()
-        if len(body) > LARGEST:
-            self.trouble = f"{self.path}: {len(body)} bytes; allowed: at most {LARGEST}"
+        if len(body) > MAX_RECORD_BYTES:
+            self.trouble = f"{self.path}: {len(body)} bytes; allowed: at most {MAX_RECORD_BYTES}"
         elif body != self.body or self.trouble:
             if self.trouble:
                 self._folder()
-            if not self.log.read:  # it is replaced once it is known what it is
+            if not self.log.loaded:  # it is replaced once it is known what it is
                 self.log.open(self._take)
             self.body = body
-            self.trouble = "" if self.log.add(body) else self.log.trouble
+            self.trouble = "" if self.log.add(body) else self.log.error
--- a/stackpitch/duties/weights/placing/copy.py
+++ b/stackpitch/duties/weights/placing/copy.py
@@ -35,7 +35,7 @@
         disk = self.folder.disk
         try:
             for path in (self.place, self.partial):
-                disk.folder(path.rpartition("/")[0])
+                disk.make_folder(path.rpartition("/")[0])
             disk.sync_folder(
                 self.place.rpartition("/")[0]
             )  # a process that ended after its rename may have left this undone
@@ -64,7 +64,7 @@
         pieces of which a part is here; another's bytes must not come between."""
         disk, (folder, _, name) = self.folder.disk, self.place.rpartition("/")
         try:
-            if not self.placed and name in disk.names(folder):
+            if not self.placed and name in disk.list_folder(folder):
                 old, self.descriptor = self._file(), disk.open(self.place)
                 disk.close(old)
                 self.placed, self.have = True, 0
--- a/stackpitch/duties/weights/placing/disk.py
+++ b/stackpitch/duties/weights/placing/disk.py
@@ -3,8 +3,8 @@
 import errno
 
 from stackpitch.duties.weights.errors import DiskCorrupt, DiskFull, DiskReadOnly, DiskTrouble
-from stackpitch.loop import RealVolume as RealDisk
-from stackpitch.loop import Volume as Disk
+from stackpitch.loop import FileSystem as Disk
+from stackpitch.loop import RealFileSystem as RealDisk
 
 __all__ = ["Disk", "RealDisk", "trouble"]
 
--- a/stackpitch/duties/weights/placing/folder.py
+++ b/stackpitch/duties/weights/placing/folder.py
@@ -69,7 +69,7 @@
 
     def _names(self, path: str) -> list[str]:
         try:
-            return self.disk.names(path)
+            return self.disk.list_folder(path)
         except OSError as wrong:
             raise trouble(wrong, path) from None
 
@@ -94,7 +94,7 @@
         path = f"{self.root}/{model}/released"
         beside = f"{path}.{self.number}"
         try:
-            self.disk.folder(self.model(model))
+            self.disk.make_folder(self.model(model))
             descriptor = self.disk.open(beside, create=True)
             try:
                 self.disk.truncate(descriptor, 0)
--- a/stackpitch/duties/weights/receiving/fetch.py
+++ b/stackpitch/duties/weights/receiving/fetch.py
@@ -1,7 +1,7 @@
 """A part of a file by HTTP `Range`, over one kept connection. Asks for no more than may come now."""
 
 from stackpitch.duties.weights.errors import SourceChanged, SourceFailed
-from stackpitch.loop import MS, SECOND, ConnectFailed, Coro, Lost, Stream, Time, World
+from stackpitch.loop import MS, SECOND, ConnectFailed, ConnectionLost, Coro, Stream, Time, World
 from stackpitch.wire import http
 
 CONNECT: Time = SECOND
@@ -28,13 +28,13 @@
         kept = self.stream is not None and self.used
         try:
             return (yield from self._fetch(path, at, size, total))
-        except Lost as wrong:
+        except ConnectionLost as wrong:
             self.close()
             if not kept:
                 raise SourceFailed(self.name, self.address, str(wrong)) from None
         try:
             return (yield from self._fetch(path, at, size, total))
-        except Lost as wrong:
+        except ConnectionLost as wrong:
             self.close()
             raise SourceFailed(self.name, self.address, str(wrong)) from None
 
@@ -62,7 +62,7 @@
                 if scope.expired:
                     raise SourceFailed(self.name, self.address, f"nothing came for {GAP // MS} ms")
                 if not data:
-                    raise Lost("it closed the connection")
+                    raise ConnectionLost("it closed the connection")
                 reader.feed(data)
                 parts += reader.pieces
                 if reader.head_done:
--- a/stackpitch/duties/weights/receiving/lanes.py
+++ b/stackpitch/duties/weights/receiving/lanes.py
@@ -137,7 +137,7 @@
                 use.took += len(data)
                 if owner.entries.get(entry.version) is not entry:
                     break  # withdrawn or replaced meanwhile
-                yield from self.world.aside(partial(entry.copy.write, at, data), QUEUE)
+                yield from self.world.run_blocking(partial(entry.copy.write, at, data), QUEUE)
                 yield from self._came(entry, piece, data, source)
         except SourceFailed as wrong:
             self._failed(wrong, grant.model, grant.version)
--- a/stackpitch/duties/weights/receiving/opening.py
+++ b/stackpitch/duties/weights/receiving/opening.py
@@ -24,7 +24,7 @@
     def steps(self, entry: Entry, steps: Iterator[None]) -> Coro[bool]:
         """Runs blocking steps aside one by one, so that others get their turns. False after trouble, which was said."""
         try:
-            while (yield from self.world.aside(lambda: next(steps, steps), QUEUE)) is not steps:
+            while (yield from self.world.run_blocking(lambda: next(steps, steps), QUEUE)) is not steps:
                 pass
             return True
         except DiskTrouble as wrong:
@@ -43,12 +43,12 @@
             yield from entry.copy.recheck()
 
         while not (yield from self.steps(entry, opened())):
-            yield from self.world.aside(entry.copy.close, QUEUE)
+            yield from self.world.run_blocking(entry.copy.close, QUEUE)
             if self.receiver.entries.get(entry.version) is not entry:
                 return
             yield from self.world.sleep(WAIT)
         if self.receiver.entries.get(entry.version) is not entry:
-            yield from self.world.aside(entry.copy.close, QUEUE)
+            yield from self.world.run_blocking(entry.copy.close, QUEUE)
             return
         yield from self.found(entry)
 
--- a/stackpitch/duties/weights/receiving/receiver.py
+++ b/stackpitch/duties/weights/receiving/receiver.py
@@ -135,7 +135,7 @@
         released = Released(asked.version, stamp, asked.serial)
         if last.version != asked.version or last.stamp != stamp:
             try:
-                yield from self.world.aside(lambda: self.folder.release(asked.model, released), QUEUE)
+                yield from self.world.run_blocking(lambda: self.folder.release(asked.model, released), QUEUE)
             except DiskTrouble as wrong:
                 self.failed(wrong)
                 return "disk"
@@ -203,7 +203,7 @@
         self.changed = True
         if entry.ready and self.group is not None:
             self.group.spawn(
-                self.world.aside(entry.copy.close, QUEUE), "weights close"
+                self.world.run_blocking(entry.copy.close, QUEUE), "weights close"
             )  # after what is under way
 
     def _clear(self, model: str) -> Coro[None]:
--- a/stackpitch/duties/weights/receiving/sitedisk.py
+++ b/stackpitch/duties/weights/receiving/sitedisk.py
@@ -33,7 +33,7 @@
                     wrong.append(one)
             return lying, releases, wrong
 
-        self.lying, found, wrong = yield from self.world.aside(looked, QUEUE)
+        self.lying, found, wrong = yield from self.world.run_blocking(looked, QUEUE)
         for model, one in found.items():
             mine = self.releases.get(model)
             if mine is None or (one.stamp, one.serial) > (mine.stamp, mine.serial):  # another gateway's
@@ -68,7 +68,7 @@
                 if name.endswith(f".{self.folder.number}") and name not in kept:
                     self.folder.remove(f"{self.folder.model(model)}/partial/{name}")
 
-        yield from self.world.aside(clear, QUEUE)
+        yield from self.world.run_blocking(clear, QUEUE)
         self.lying[model] = [
             version for version in self.lying.get(model, ()) if self.folder.placed(model, version) not in gone
         ]
--- a/stackpitch/duties/weights/serving.py
+++ b/stackpitch/duties/weights/serving.py
@@ -17,7 +17,7 @@
 
 
 def answer(world: World, receiver: Receiver, request: http.RequestReader, stream: Stream) -> Coro[bool]:
-    """Writes the whole answer; whether the connection can be kept. Raises Lost."""
+    """Writes the whole answer; whether the connection can be kept. Raises ConnectionLost."""
 
     def refused(status: int, why: str) -> bool:
         stream.write(http.response(status, why.encode(), [("connection", "keep-alive")], "text/plain"))
@@ -45,7 +45,7 @@
     for at in range(first, last + 1, PART):
         size = min(PART, last + 1 - at)
         try:
-            data = yield from world.aside(partial(entry.copy.read, at, size), QUEUE)
+            data = yield from world.run_blocking(partial(entry.copy.read, at, size), QUEUE)
         except WeightsError:
             data = b""
         if len(data) != size:
--- a/stackpitch/duties/weights/wantedfile.py
+++ b/stackpitch/duties/weights/wantedfile.py
@@ -38,7 +38,7 @@
                 return seen, wrong, last
 
         before = self.current
-        self.seen, found, self.current = yield from self.world.aside(looked)
+        self.seen, found, self.current = yield from self.world.run_blocking(looked)
         self.begun = True
         if isinstance(found, Wanted) and (wrong := self._changed(found)) is not None:
             found = wrong
@@ -47,7 +47,7 @@
         elif found is not None:
             self.rejected = found
         if self.current is not None and (self.current is not before or self.kept.again):
-            yield from self.world.aside(partial(self.kept.save, self.current), QUEUE)
+            yield from self.world.run_blocking(partial(self.kept.save, self.current), QUEUE)
         return found is not None
 
     def _changed(self, wanted: Wanted) -> WantedRejected | None:
--- a/stackpitch/duties/weights/work.py
+++ b/stackpitch/duties/weights/work.py
@@ -60,7 +60,7 @@
         disk: Disk | None = None,
     ) -> None:
         self.world, self.ground, self.address, self.admits, self.log = world, ground, address, admits, log
-        folder = Folder(disk if disk is not None else world.volume(), settings.folder, ground.number)
+        folder = Folder(disk if disk is not None else world.file_system(), settings.folder, ground.number)
         self.file = WantedFile(
             world, Path(settings.wanted), LastGood(world.files(), folder.disk, folder.wanted())
         )
--- a/stackpitch/exchange.py
+++ b/stackpitch/exchange.py
@@ -1,6 +1,6 @@
 """One small HTTP request and its whole answer over the loop: what gateways say to each other and to engines."""
 
-from stackpitch.loop import ConnectFailed, Coro, Lost, Stream, Time, World
+from stackpitch.loop import ConnectFailed, ConnectionLost, Coro, Stream, Time, World
 from stackpitch.loop.world import Address
 from stackpitch.wire import http
 
@@ -8,7 +8,7 @@
 def answered(
     stream: Stream, request: bytes, max_head: int, max_body: int
 ) -> Coro[http.ResponseReader | None]:
-    """Writes the request and reads the answer, its body in `pieces`; None if the connection ends before. Raises Lost,
+    """Writes the request and reads the answer, its body in `pieces`; None if the connection ends before. Raises ConnectionLost,
     http.BadMessage."""
     reader = http.ResponseReader(max_head, max_body)
     stream.write(request)
@@ -34,6 +34,6 @@
                 return (yield from answered(stream, request, 1 << 15, max_body))
             finally:
                 stream.close()
-    except (Lost, ConnectFailed, http.BadMessage):
+    except (ConnectionLost, ConnectFailed, http.BadMessage):
         pass
     return None
--- a/stackpitch/gateway/admin.py
+++ b/stackpitch/gateway/admin.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from stackpitch.loop import SECOND, Coro, Group, Listener, Lost, Stream, World
+from stackpitch.loop import SECOND, ConnectionLost, Coro, Group, Listener, Stream, World
 from stackpitch.wire import http
 
 Route = Callable[[Mapping[str, str]], Coro[tuple[int, bytes]]]  # what stood after the ?, to status and body
@@ -35,7 +35,7 @@
         while True:
             try:
                 stream = yield from listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
             group.spawn(self._one(stream), "admin")
 
@@ -43,14 +43,14 @@
         try:
             while (yield from self._answered(stream)):
                 pass
-        except Lost:
+        except ConnectionLost:
             pass
         except http.BadMessage as wrong:
             try:
                 stream.write(
                     http.response(wrong.status, str(wrong).encode(), [("connection", "close")], "text/plain")
                 )
-            except Lost:
+            except ConnectionLost:
                 pass
         finally:
             stream.close()
--- a/stackpitch/gateway/ask.py
+++ b/stackpitch/gateway/ask.py
@@ -8,7 +8,7 @@
 from stackpitch.gateway.pool import Pool
 from stackpitch.gateway.trace import Steps
 from stackpitch.interface import Generation, Leg, Server, Time
-from stackpitch.loop import Lost, Stream, Task, Timer
+from stackpitch.loop import ConnectionLost, Stream, Task, Timer
 from stackpitch.wire import http, sse
 from stackpitch.wire.collect import Collector
 from stackpitch.wire.engine import error_body
@@ -67,12 +67,12 @@
         One that has ended its sending counts as left until its answer streams; then the next write tells."""
         try:
             while self.client is not None and self.surplus <= SURPLUS:
-                data = self.client.recv_now(look=True)
+                data = self.client.recv_now(force=True)
                 if not data:
                     self.sending_ended = self.client.eof
                     return self.sending_ended and not self.streaming
                 self.surplus += len(data)
-        except Lost:
+        except ConnectionLost:
             return True
         return not self.begun
 
@@ -122,7 +122,7 @@
             return False
         try:
             self.client.write(data)
-        except Lost:
+        except ConnectionLost:
             return False
         return True
 
--- a/stackpitch/gateway/connections.py
+++ b/stackpitch/gateway/connections.py
@@ -8,7 +8,7 @@
 from stackpitch.gateway.pool import Budget, NoneFree, Pool
 from stackpitch.gateway.roster import Roster
 from stackpitch.interface import Server, Time
-from stackpitch.loop import ConnectFailed, Coro, Lost, Stream, World
+from stackpitch.loop import ConnectFailed, ConnectionLost, Coro, Stream, World
 from stackpitch.wire import http
 
 if TYPE_CHECKING:
@@ -72,7 +72,7 @@
         self.calls += 1
         try:
             yield from call
-        except (Lost, ConnectFailed) as wrong:
+        except (ConnectionLost, ConnectFailed) as wrong:
             self.log.warning("call_failed", why=str(wrong))
         except (
             Exception
@@ -97,7 +97,7 @@
                     pool.give(stream)
                     stream = None
                 return reader
-        except (Lost, ConnectFailed, NoneFree, http.BadMessage):
+        except (ConnectionLost, ConnectFailed, NoneFree, http.BadMessage):
             return None
         finally:
             if stream is not None:
--- a/stackpitch/gateway/door.py
+++ b/stackpitch/gateway/door.py
@@ -15,7 +15,7 @@
 from stackpitch.gateway.permission import Act, Connection, Reason, may_end
 from stackpitch.gateway.trace import Closing
 from stackpitch.interface import Generation, Time
-from stackpitch.loop import Coro, Group, Listener, Lost, Stream, World
+from stackpitch.loop import ConnectionLost, Coro, Group, Listener, Stream, World
 from stackpitch.wire import http
 from stackpitch.wire.engine import GENERATE, error_body
 
@@ -67,13 +67,15 @@
             Stream, Closing
         ] = {}  # of connections that end behind their answer; emptied as they do
         self.accepting = True  # until the listener is closed
-        self.mark = f"{host.name}.{world.fresh('ids'):x}"  # no other start's, whatever the wall clock says
+        self.mark = (
+            f"{host.name}.{world.unique_id('ids'):x}"  # no other start's, whatever the wall clock says
+        )
 
     def serve(self, group: Group, listener: Listener) -> Coro[None]:
         while True:
             try:
                 stream = yield from listener.accept()
-            except Lost:
+            except ConnectionLost:
                 self.accepting = False
                 return  # the listener is closed: the gateway stops
             if self.connections - len(self.lingering) >= self.max_connections and not self._make_room():
@@ -104,7 +106,7 @@
                 kept = True
             self.lingering[stream] = None
             yield from self._farewell(stream)
-        except Lost:  # the client broke it; what it had asked for was told as departed
+        except ConnectionLost:  # the client broke it; what it had asked for was told as departed
             self.closings[Closing.BROKEN] += 1
         except Exception as wrong:  # one connection's fault ends that connection alone
             self.closings[Closing.RAISED] += 1
@@ -130,7 +132,7 @@
                 if not (kept or stream.eof or stream in self.lingering):
                     self._answer_unasked(stream)
                 return False
-            began = stream.came
+            began = stream.arrived_at
             reader.feed(first)
             held = yield from self._rest(stream, reader, 0)
             if not reader.complete:
@@ -302,10 +304,10 @@
         ask.waiter = self.world.current
         try:
             while not ask.answered:
-                stream.attend(None if ask.flooded or ask.sending_ended else self.world.current)
+                stream.wake_on_input(None if ask.flooded or ask.sending_ended else self.world.current)
                 yield
                 if not ask.answered and ask.left():
                     self.host.departed(ask)
         finally:
             ask.waiter = None
-            stream.attend(None)
+            stream.wake_on_input(None)
--- a/stackpitch/gateway/duties.py
+++ b/stackpitch/gateway/duties.py
@@ -111,7 +111,7 @@
         world,
         made,
         settings.duties.weights,
-        world.fresh(),
+        world.unique_id(),
         settings.peers.admin.__getitem__,
         engines,
         admits=admits,
--- a/stackpitch/gateway/endings.py
+++ b/stackpitch/gateway/endings.py
@@ -8,7 +8,7 @@
 from stackpitch.gateway.permission import Act, Connection, Reason, may_end, may_take
 from stackpitch.gateway.taking import taken
 from stackpitch.interface import SECOND, Time
-from stackpitch.loop import Coro, Lost, Scope, Stream, World
+from stackpitch.loop import ConnectionLost, Coro, Scope, Stream, World
 from stackpitch.wire import http
 from stackpitch.wire.engine import error_body
 
@@ -62,8 +62,8 @@
         on is read, so that the close is no reset, and goes nowhere."""
         rest = self.waiting.pop(stream)
         try:
-            rest.first = stream.recv_now(look=True) or b""
-        except Lost:
+            rest.first = stream.recv_now(force=True) or b""
+        except ConnectionLost:
             pass
         reason = may_end(Connection(unread=bool(rest.first)))
         if reason is None:
@@ -101,7 +101,7 @@
         headers = [("x-should-retry", "true"), ("connection", "close")]
         try:
             stream.write(http.response(503, body, headers))
-        except Lost:
+        except ConnectionLost:
             pass  # it has gone
 
     def _turn_away(self, stream: Stream) -> Coro[None]:
@@ -124,7 +124,7 @@
         try:
             stream.write(http.response(status, error_body(text, code, kind), headers))
             yield from self._farewell(stream)
-        except Lost:
+        except ConnectionLost:
             pass  # it did not wait for the answer
         finally:
             stream.close()
--- a/stackpitch/gateway/engines.py
+++ b/stackpitch/gateway/engines.py
@@ -10,7 +10,7 @@
 from stackpitch.gateway.outcomes import End, Phase, answered
 from stackpitch.gateway.pool import Pool
 from stackpitch.interface import Leg, Report, Server, Time
-from stackpitch.loop import Coro, Lost, Scope, Stream
+from stackpitch.loop import ConnectionLost, Coro, Scope, Stream
 from stackpitch.wire import engine, http, orca, sse
 from stackpitch.wire.decoding import decode
 from stackpitch.wire.engine import HEALTH, STATE_HOLD, STATE_RELEASE, HoldAnswer, StateCall
@@ -84,7 +84,7 @@
                 return self._broken("garbled", "a stream without any event")
             yield from self._more(stream)
         fetched = reader.headers.get(engine.STATE_HEADER) == "fetched"
-        scope.relax()
+        scope.remove_limit()
         if not self.host.leg_started(self.ask, self.leg, fetched):
             return self._broken("cancelled", "nobody wants it")
         self.phase[0] = Phase.STREAMING
@@ -119,7 +119,7 @@
         pieces, tail = reader.pieces, deque(reader.pieces, maxlen=self.TAIL)
         gone = not ask.pass_on(pieces)  # the first feed held the head, so it is framed anew
         self._watch_gap(stream)
-        stream.attend(host.world.current)
+        stream.wake_on_input(host.world.current)
         try:
             while not (reader.complete or gone):
                 raw = recv()
@@ -128,7 +128,7 @@
                     yield
                     continue
                 if not raw:
-                    raise Lost("closed by the engine")
+                    raise ConnectionLost("closed by the engine")
                 aligned = reader.aligned
                 feed(raw)
                 pieces = reader.pieces
@@ -145,7 +145,7 @@
                 else:
                     try:
                         client.write(raw)  # whole chunks, as they came
-                    except Lost:
+                    except ConnectionLost:
                         gone = True
                 if gone or client is None:
                     continue
@@ -157,7 +157,7 @@
                     row = 0
                     yield from host.world.pause()
         finally:
-            stream.attend(None)
+            stream.wake_on_input(None)
             host.relayed += self.moved
             if self.gap_timer is not None:
                 self.gap_timer.cancel()
@@ -254,7 +254,7 @@
                     waiting.stream, "POST", STATE_RELEASE, waiting.server.name, body
                 )
                 done = reader is not None and reader.status in (200, 404)
-        except (Lost, http.BadMessage):
+        except (ConnectionLost, http.BadMessage):
             pass  # the engine sees the connection end, which frees the state as well
         finally:
             self.host.metrics.releases.labels("done" if done else "closed").inc()
--- a/stackpitch/gateway/host/told.py
+++ b/stackpitch/gateway/host/told.py
@@ -212,7 +212,9 @@
     def leg_started(self, ask: Ask, leg: Leg, fetched: bool) -> bool:
         """The first token is here; False if nobody wants it. `fetched`: the writer took the state that it was sent to."""
         task = ask.tasks.get(leg)
-        cancelled = task is not None and task.struck() is not None  # in the very turn in which the token came
+        cancelled = (
+            task is not None and task.cancelled_scope() is not None
+        )  # in the very turn in which the token came
         now = Now(self.world.now(), cancelled=cancelled, serving=ask.serving)
         if (reason := may_start(leg, now)) is not None:
             self.forbidden(Act.START, reason, leg)
--- a/stackpitch/gateway/host/words.py
+++ b/stackpitch/gateway/host/words.py
@@ -6,7 +6,7 @@
 
 from stackpitch.gateway.connections import Connections
 from stackpitch.interface import Time
-from stackpitch.loop import ConnectFailed, Coro, Group, Lost, World
+from stackpitch.loop import ConnectFailed, ConnectionLost, Coro, Group, World
 from stackpitch.wire import http
 
 if TYPE_CHECKING:
@@ -67,7 +67,7 @@
                         end = "sent" if answer is not None and answer.status == 200 else "lost"
                     finally:
                         stream.close()
-            except (Lost, ConnectFailed, http.BadMessage):
+            except (ConnectionLost, ConnectFailed, http.BadMessage):
                 pass
             finally:
                 self.under_way -= 1
--- a/stackpitch/gateway/intake.py
+++ b/stackpitch/gateway/intake.py
@@ -53,7 +53,7 @@
         if stream in self.lingering:
             return b""  # half-closed in the same turn: nothing can be answered any more
         if scope.expired and not scope.told and not rest.first:
-            rest.first = stream.recv_now(look=True) or b""  # it may have come in the very moment
+            rest.first = stream.recv_now(force=True) or b""  # it may have come in the very moment
         return rest.first
 
     def _rest(self, stream: Stream, reader: http.RequestReader, held: int) -> Coro[int]:
--- a/stackpitch/gateway/keeper/checker.py
+++ b/stackpitch/gateway/keeper/checker.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from stackpitch.loop import Child, Coro, Lost, Stream, Time, World
-from stackpitch.membership.bundle import Asked, Bundle
+from stackpitch.loop import Child, ConnectionLost, Coro, Stream, Time, World
+from stackpitch.membership.bundle import Bundle, ReadRequest
 from stackpitch.membership.entries import Entry
 
 LARGEST_ANSWER = 64 << 20
@@ -24,7 +24,7 @@
             part = yield from self.stream.recv(1 << 18)
             self.read += len(part)
             if not part or self.read > LARGEST_ANSWER:
-                raise Lost("the checker ended")
+                raise ConnectionLost("the checker ended")
             self.data += part
         line = bytes(self.data[:end])
         del self.data[: end + 1]
@@ -46,7 +46,7 @@
                     self.child, self.stream = self.world.spawn_piped(
                         [sys.executable, "-m", "stackpitch", "checker"], errors=self.errors
                     )
-                self.stream.write(msgspec.json.encode(Asked(str(config), dict(given))) + b"\n")
+                self.stream.write(msgspec.json.encode(ReadRequest(str(config), dict(given))) + b"\n")
                 lines = Lines(self.stream)
                 bundle = msgspec.json.decode((yield from lines.next()), type=Bundle)
                 entries: list[Entry] = []
@@ -57,7 +57,7 @@
                 return bundle
             assert scope.expired
             why = f"the check took longer than {limit // 10} ms"
-        except (Lost, OSError, msgspec.DecodeError) as wrong:
+        except (ConnectionLost, OSError, msgspec.DecodeError) as wrong:
             why = f"the check broke: {wrong}"
         yield from self.end()
         return Bundle({str(config): ""}, [f"{config}: {why}"])
--- a/stackpitch/gateway/keeper/files.py
+++ b/stackpitch/gateway/keeper/files.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from stackpitch.loop import Coro, Watch, World
-from stackpitch.membership.bundle import files_of
+from stackpitch.membership.bundle import config_files
 from stackpitch.settings import Settings
 from stackpitch.settings.made import ticks
 
@@ -15,7 +15,7 @@
 def folders(config: Path | None, settings: Settings) -> list[str]:
     """The folders of all files and of all links on the way to them."""
     found: dict[str, None] = {}
-    for path in files_of(config, settings):
+    for path in config_files(config, settings):
         for _ in range(20):
             found[os.path.dirname(os.path.abspath(path))] = None
             try:
@@ -32,7 +32,7 @@
 
 def prints(config: Path | None, settings: Settings) -> Prints:
     found: Prints = {}
-    for path in files_of(config, settings):
+    for path in config_files(config, settings):
         try:
             about = os.stat(path)
             found[str(path)] = about.st_dev, about.st_ino, about.st_size, about.st_mtime_ns, about.st_mode
@@ -58,6 +58,6 @@
     """Until the watch tells of a change, or `limit` is over."""
     with world.limit(limit):
         if watch is not None:
-            yield from watch.happened()
+            yield from watch.wait()
         else:
             yield from world.sleep(limit)
--- a/stackpitch/gateway/keeper/history.py
+++ b/stackpitch/gateway/keeper/history.py
@@ -7,7 +7,7 @@
 from stackpitch.loop import Coro, Group, RealFiles, World
 from stackpitch.membership.entries import Entry
 from stackpitch.membership.registrar import Verdict
-from stackpitch.membership.store import Kept, Noted, Store
+from stackpitch.membership.store import AppliedList, Store, UnappliedList
 
 
 class History:
@@ -17,7 +17,7 @@
         self.world, self.group, self.log, self.metrics = world, group, log, metrics
         self.store = Store(RealFiles(), file) if file else None
 
-    def open(self) -> Kept | None:
+    def open(self) -> AppliedList | None:
         """Gives the list that was in force last."""
         if self.store is None:
             return None
@@ -27,21 +27,23 @@
 
     @property
     def state(self) -> str | None:
-        return None if self.store is None else self.store.trouble or "good"
+        return None if self.store is None else self.store.error or "good"
 
     @property
-    def lists(self) -> list[Kept]:
-        return self.store.kept if self.store is not None else []
+    def lists(self) -> list[AppliedList]:
+        return self.store.applied if self.store is not None else []
 
     def keep(
         self, version: int, told: str, entries: tuple[Entry, ...], verdict: Verdict, changed: str
     ) -> None:
         self._add(
-            Kept(self.world.wall_ms(), "file", version, told, entries, "; ".join(verdict.reasons), changed)
+            AppliedList(
+                self.world.wall_ms(), "file", version, told, entries, "; ".join(verdict.reasons), changed
+            )
         )
 
     def note(self, word: str, version: int, told: str, reasons: tuple[str, ...]) -> None:
-        self._add(Noted(self.world.wall_ms(), "file", version, told, word, reasons[:20]))
+        self._add(UnappliedList(self.world.wall_ms(), "file", version, told, word, reasons[:20]))
 
     def rows(self) -> list[dict[str, Any]]:
         if self.store is None:
@@ -56,7 +58,7 @@
                 "changed": one.changed,
                 "why": one.why,
             }
-            for one in self.store.kept
+            for one in self.store.applied
         ]
         notes = [
             {
@@ -66,19 +68,19 @@
                 "digest": one.digest,
                 "why": "; ".join(one.reasons),
             }
-            for one in self.store.noted
+            for one in self.store.unapplied
         ]
         return sorted([*lists, *notes], key=lambda one: one["at_unix_ms"])
 
-    def _add(self, record: Kept | Noted) -> None:
+    def _add(self, record: AppliedList | UnappliedList) -> None:
         store = self.store
         if store is None:
             return
 
         def write() -> Coro[None]:
-            trouble = store.trouble
-            yield from self.world.aside(lambda: store.add(record))
-            if store.trouble != trouble:
+            trouble = store.error
+            yield from self.world.run_blocking(lambda: store.add(record))
+            if store.error != trouble:
                 self._say()
 
         self.group.spawn(write(), "keep")
@@ -86,11 +88,11 @@
     def _say(self) -> None:
         store = self.store
         assert store is not None
-        if store.found:
-            self.log.warning("store_found", what=store.found)
-            store.found = ""
-        self.metrics.store_trouble.set(bool(store.trouble))
-        if store.trouble:
-            self.log.error("store_trouble", why=store.trouble, meaning="lists are not kept; serving goes on")
+        if store.recovery_note:
+            self.log.warning("store_found", what=store.recovery_note)
+            store.recovery_note = ""
+        self.metrics.store_trouble.set(bool(store.error))
+        if store.error:
+            self.log.error("store_trouble", why=store.error, meaning="lists are not kept; serving goes on")
         else:
-            self.log.info("store_good", file=store.path, lists=len(store.kept))
+            self.log.info("store_good", file=store.path, lists=len(store.applied))
--- a/stackpitch/gateway/keeper/inforce.py
+++ b/stackpitch/gateway/keeper/inforce.py
@@ -8,16 +8,16 @@
 from stackpitch.gateway.metrics import Metrics
 from stackpitch.loop import World
 from stackpitch.membership.bundle import Bundle
-from stackpitch.membership.entries import Change, Entry, Proposal, change
-from stackpitch.membership.registrar import Figures, Registrar, Verdict
-from stackpitch.membership.store import Kept
+from stackpitch.membership.entries import Change, Entry, Proposal, diff
+from stackpitch.membership.registrar import Registrar, RegistrarConfig, Verdict
+from stackpitch.membership.store import AppliedList
 from stackpitch.settings import Settings
 from stackpitch.settings.made import kinds, ticks
 
 
-def figures(settings: Settings) -> Figures:
+def figures(settings: Settings) -> RegistrarConfig:
     one = settings.membership
-    return Figures(
+    return RegistrarConfig(
         one.step_share,
         ticks(one.step_ms),
         ticks(one.persist_ms),
@@ -40,7 +40,7 @@
         self.version = -1
         self.applied: dict[str, Entry] = {}  # as the module has it
 
-    def again(self, last: Kept) -> None:
+    def again(self, last: AppliedList) -> None:
         """What was in force before a restart; files are then judged against it as at any other time."""
         proposal = Proposal("file", last.version, last.digest, last.entries)
         self.take(
@@ -69,7 +69,7 @@
         return (
             Change()
             if verdict.entries is None
-            else change(self.applied, {one.name: one for one in verdict.entries})
+            else diff(self.applied, {one.name: one for one in verdict.entries})
         )
 
     def take(
@@ -80,11 +80,11 @@
             return
         changed = changed if changed is not None else self.changed(verdict)
         self.applied, self.version = {one.name: one for one in verdict.entries}, version
-        self.last = verdict.word, verdict.reasons
-        self.metrics.lists.labels(verdict.word).inc()
+        self.last = verdict.outcome, verdict.reasons
+        self.metrics.lists.labels(verdict.outcome).inc()
         self.log.info(
             "list",
-            word=verdict.word,
+            word=verdict.outcome,
             version=version,
             digest=told,
             changed=changed.text(),
@@ -96,17 +96,17 @@
             self.history.keep(version, told, entries, verdict, changed.text())
 
     def held_back(self, verdict: Verdict, bundle: Bundle) -> None:
-        self.last = verdict.word, verdict.reasons
-        self.metrics.lists.labels(verdict.word).inc()
+        self.last = verdict.outcome, verdict.reasons
+        self.metrics.lists.labels(verdict.outcome).inc()
         self.log.warning(
             "list_held_back", version=bundle.version, digest=bundle.digest, why="; ".join(verdict.reasons)
         )
-        self.history.note(verdict.word, bundle.version, bundle.digest, verdict.reasons)
+        self.history.note(verdict.outcome, bundle.version, bundle.digest, verdict.reasons)
 
     def unchanged(self, verdict: Verdict, version: int) -> None:
         """Nothing differs but perhaps the version."""
         self.host.roster.starts.confirm()  # also where a list from before a restart was in force so far
-        self.last = verdict.word, ()
+        self.last = verdict.outcome, ()
         self.version = self.host.roster.version = max(self.version, version)
 
     def rejected(self, problems: tuple[str, ...], version: int, told: str) -> None:
@@ -148,7 +148,7 @@
             (one.held.proposal for one in self.registrar.sources.values() if one.held is not None), None
         )
         verdict = self.registrar.confirm(self.world.now(), told)
-        if verdict.word == "rejected" or held is None:
+        if verdict.outcome == "rejected" or held is None:
             return "; ".join(verdict.reasons)
         self.take(verdict, held.version, held.digest)
         return None
@@ -165,10 +165,10 @@
             return f"no list {told!r} is kept; kept: {', '.join(one.digest for one in lists[-5:]) or 'none'}"
         proposal = Proposal("file", found.version, found.digest, found.entries)
         verdict = self.registrar.propose(self.world.now(), proposal, force=True)
-        if verdict.word == "rejected":
+        if verdict.outcome == "rejected":
             return "; ".join(verdict.reasons)
         self.take(
-            Verdict(verdict.word, (*verdict.reasons, "rolled back"), verdict.entries),
+            Verdict(verdict.outcome, (*verdict.reasons, "rolled back"), verdict.entries),
             found.version,
             found.digest,
         )
--- a/stackpitch/gateway/keeper/keeper.py
+++ b/stackpitch/gateway/keeper/keeper.py
@@ -14,7 +14,7 @@
 from stackpitch.gateway.logs import Log
 from stackpitch.gateway.metrics import Metrics
 from stackpitch.loop import Coro, Group, Watch, World
-from stackpitch.membership.bundle import Bundle, read_set
+from stackpitch.membership.bundle import Bundle, read_bundle
 from stackpitch.membership.registrar import Verdict
 from stackpitch.settings import LIVE, BadSettings, Settings
 from stackpitch.settings.load import check
@@ -71,12 +71,12 @@
         self.prints = (
             self._prints()
         )  # before reading: what is written meanwhile is another state of the files
-        bundle = read_set(self.config, self.given, self.settings)
+        bundle = read_bundle(self.config, self.given, self.settings)
         for _ in range(TRIES):
             if not bundle.unsettled:
                 break
             self.prints = self._prints()
-            bundle = read_set(self.config, self.given, self.settings)
+            bundle = read_bundle(self.config, self.given, self.settings)
         if bundle.unsettled:
             self.asked = True
             bundle.problems.append(UNSETTLED)
@@ -90,7 +90,7 @@
 
     def reload_here(self, force: bool = False) -> str | None:
         """Reads and applies in this process; gives what is wrong. For callers that run no watch."""
-        bundle = read_set(self.config, self.given, self.settings)
+        bundle = read_bundle(self.config, self.given, self.settings)
         return at_once(self._settle(bundle, force, slices=False))
 
     # While serving.
@@ -113,7 +113,7 @@
         try:
             while True:
                 if watch is not None:
-                    watch.aim(files.folders(self.config, self.settings))
+                    watch.set_folders(files.folders(self.config, self.settings))
                 yield from self._wait(watch)
                 self.in_force.tick()
                 now = self._prints() if self.settings.membership.watch else prints
@@ -160,7 +160,7 @@
 
     def _checked(self) -> Coro[Bundle]:
         if self.config is None:
-            return read_set(None, self.given, self.settings)
+            return read_bundle(None, self.given, self.settings)
         return (
             yield from self.checker.check(self.config, self.given, ticks(self.settings.membership.check_ms))
         )
@@ -181,22 +181,22 @@
         verdict = ours.propose(bundle, force)
         if slices:
             yield from self.world.pause()
-        if verdict.word == "rejected":
+        if verdict.outcome == "rejected":
             if not same or verdict.reasons != ours.bad:
                 ours.rejected(verdict.reasons, bundle.version, bundle.digest)
             return "\n".join(verdict.reasons)
         ours.bad = ()
-        if verdict.word == "held back":
+        if verdict.outcome == "held back":
             ours.held_back(verdict, bundle)
         if slices:
             yield from self.world.pause()
-        if verdict.word == "repeated" and not verdict.reasons:  # the same servers, said by a later version
+        if verdict.outcome == "repeated" and not verdict.reasons:  # the same servers, said by a later version
             ours.unchanged(verdict, bundle.version)
         changed = ours.changed(verdict)
         if slices:
             yield from self.world.pause()
         if verdict.entries is not None:  # a confirmation, rollback or step may have come between the parts
-            verdict = Verdict(verdict.word, verdict.reasons, tuple(ours.registrar.in_force.values()))
+            verdict = Verdict(verdict.outcome, verdict.reasons, tuple(ours.registrar.in_force.values()))
         ours.take(verdict, bundle.version, bundle.digest, changed=changed)
         return None
 
@@ -210,7 +210,7 @@
                 self.log.warning("restart_wanted", settings=rest)
         if live:
             self.settings = old.model_copy(update={name: getattr(new, name) for name in live})
-            self.in_force.registrar.figures = figures(self.settings)
+            self.in_force.registrar.config = figures(self.settings)
             self.log.info("settings", changed=sorted(live))
             if self.new_settings is not None:
                 self.new_settings(self.settings)
--- a/stackpitch/gateway/leg.py
+++ b/stackpitch/gateway/leg.py
@@ -12,7 +12,7 @@
 from stackpitch.gateway.repeats import latest
 from stackpitch.gateway.taking import taken
 from stackpitch.interface import Leg, Time
-from stackpitch.loop import ConnectFailed, Coro, LocalFault, Lost, Scope, Stream, Timer
+from stackpitch.loop import ConnectFailed, ConnectionLost, Coro, LocalFault, Scope, Stream, Timer
 from stackpitch.wire import http
 
 if TYPE_CHECKING:
@@ -86,7 +86,7 @@
                 end = End("not-sent", Phase.QUEUED, why=str(wrong))
             except ConnectFailed as wrong:
                 end = self._broken("lost", str(wrong))
-            except Lost as wrong:
+            except ConnectionLost as wrong:
                 end = self._broken("lost", str(wrong))
             except http.BadMessage as wrong:
                 end = self._broken("garbled", str(wrong))
@@ -119,7 +119,7 @@
         left = not self.leg.gen.over and ask.left()
         if left:
             self.host.departed(ask)
-        now = Now(world.now(), left, world.current.struck() is not None, self.ends)
+        now = Now(world.now(), left, world.current.cancelled_scope() is not None, self.ends)
         if (reason := may_send(self.leg, now)) is not None:
             self.host.forbidden(Act.SEND, reason, self.leg)
             raise NotSent(reason)
@@ -133,14 +133,16 @@
                 with world.limit(until - world.now()):
                     yield from stream.drain()
                 if stream.buffered:
-                    raise Lost("its servers may have forgotten an earlier leg before this one is whole")
+                    raise ConnectionLost(
+                        "its servers may have forgotten an earlier leg before this one is whole"
+                    )
         self.phase[0] = Phase.SENT
         self.host.written(ask, self.leg)
 
     def _more(self, stream: Stream, most: int = 65536) -> Coro[bytes]:
         data = yield from stream.recv(most)
         if not data:
-            raise Lost("closed by the engine")
+            raise ConnectionLost("closed by the engine")
         self.reader.feed(data)
         return data
 
@@ -174,7 +176,7 @@
             good = yield from taken(
                 self.host.world, client, half, self.host.bounds.stall, self._owed(client, half, events)
             )
-        except Lost:  # it says nothing of the server, on whose connection nothing is wrong
+        except ConnectionLost:  # it says nothing of the server, on whose connection nothing is wrong
             return False
         finally:
             self.waits = False
--- a/stackpitch/gateway/pool.py
+++ b/stackpitch/gateway/pool.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from stackpitch.gateway.outcomes import Phase
-from stackpitch.loop import Coro, Line, Lost, Stream, Time, World
+from stackpitch.loop import ConnectionLost, Coro, Stream, Time, WaitQueue, World
 from stackpitch.loop.world import Address
 
 
@@ -30,7 +30,7 @@
         self.most, self.reserve, self.open = most, reserve, 0
         self.before_fall = most
         self.idle: dict[Stream, Pool] = {}  # of all pools, longest first; emptied as theirs
-        self.line: Line[Place] = Line()
+        self.line: WaitQueue[Place] = WaitQueue()
 
     def resize(self, most: int, reserve: int = 0) -> None:
         """Other bounds. What is open beyond `most` closes at once where it is idle, else as it comes back."""
@@ -40,14 +40,14 @@
             pool.forget(stream)
             pool.shut(stream)
         self.before_fall = max(most, self.open)
-        self.line.call()  # there may be more room than before
+        self.line.hand_out()  # there may be more room than before
 
     def left(self) -> None:
         """One was closed, and its place is free."""
         self.open -= 1
         if self.open < self.most:
             self.before_fall = self.most
-        self.line.call()
+        self.line.hand_out()
 
     def room(self, call: bool) -> bool:
         bound = max(self.most + self.reserve, self.before_fall) if call else self.most
@@ -149,8 +149,8 @@
     def _silent(stream: Stream) -> bool:
         """Nothing may have come on an idle connection: garbage after a full answer, or the end."""
         try:
-            return stream.recv_now(look=True) is None  # it may have come and not been told yet
-        except Lost:
+            return stream.recv_now(force=True) is None  # it may have come and not been told yet
+        except ConnectionLost:
             return False
 
     def give(self, stream: Stream) -> None:
@@ -172,7 +172,7 @@
             return
         self.idle.append((stream, self.world.now()))
         self.budget.idle[stream] = self
-        self.budget.line.call()
+        self.budget.line.hand_out()
 
     def forget(self, stream: Stream) -> None:
         """It is idle no more."""
--- a/stackpitch/gateway/serve.py
+++ b/stackpitch/gateway/serve.py
@@ -94,7 +94,7 @@
         metrics.hogs.inc()
         log.warning("hog", task=name, ms=spent / 10)
 
-    world.on_hog, world.hog_limit = on_hog, ticks(settings.logs.hog_ms)
+    world.on_slow_step, world.slow_step_limit = on_hog, ticks(settings.logs.hog_ms)
     caught = world.signals(signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
     door_settings = settings.door
 
--- a/stackpitch/gateway/taking.py
+++ b/stackpitch/gateway/taking.py
@@ -5,7 +5,7 @@
 
 def taken(world: World, client: Stream, below: int, stall: Time, most: Time | None) -> Coro[bool]:
     """Whether no more than `below` is left; else it is cut off: it took nothing for `stall`, or not enough within `most`, as
-    one that takes a byte now and then. Raises Lost."""
+    one that takes a byte now and then. Raises ConnectionLost."""
     until = None if most is None else world.now() + max(stall, most)
     while (before := client.buffered) > below:
         with world.limit(stall if until is None else min(stall, until - world.now())) as scope:
--- a/stackpitch/loop/__init__.py
+++ b/stackpitch/loop/__init__.py
@@ -6,13 +6,22 @@
 
 from random import Random
 
+from stackpitch.loop.file_system import FileSystem, RealFileSystem
 from stackpitch.loop.files import Files, RealFiles
 from stackpitch.loop.real import RealWorld
 from stackpitch.loop.task import Cancelled, Coro, Group, Scope, Task
 from stackpitch.loop.timers import Time, Timer, Timers
-from stackpitch.loop.turns import Line, Turns
-from stackpitch.loop.volume import RealVolume, Volume
-from stackpitch.loop.world import Child, ConnectFailed, Listener, LocalFault, Lost, Stream, Watch, World
+from stackpitch.loop.wait_queue import Semaphore, WaitQueue
+from stackpitch.loop.world import (
+    Child,
+    ConnectFailed,
+    ConnectionLost,
+    Listener,
+    LocalFault,
+    Stream,
+    Watch,
+    World,
+)
 
 MS, SECOND = 10, 10_000
 
@@ -22,25 +31,25 @@
     "Cancelled",
     "Child",
     "ConnectFailed",
+    "ConnectionLost",
     "Coro",
+    "FileSystem",
     "Files",
     "Group",
-    "Line",
     "Listener",
     "LocalFault",
-    "Lost",
     "Random",
+    "RealFileSystem",
     "RealFiles",
-    "RealVolume",
     "RealWorld",
     "Scope",
+    "Semaphore",
     "Stream",
     "Task",
     "Time",
     "Timer",
     "Timers",
-    "Turns",
-    "Volume",
+    "WaitQueue",
     "Watch",
     "World",
 ]
--- a/stackpitch/loop/volume.py
+++ b/stackpitch/loop/file_system.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 
-class Volume(Protocol):
+class FileSystem(Protocol):
     """All raise OSError."""
 
     def open(self, path: str, create: bool = False) -> int: ...  # to read and write, anywhere in it
@@ -18,12 +18,12 @@
     def close(self, descriptor: int) -> None: ...
     def rename(self, old: str, new: str) -> None: ...
     def remove(self, path: str) -> None: ...
-    def folder(self, path: str) -> None: ...  # makes it and those above it, where missing, durably
-    def names(self, path: str) -> list[str]: ...  # in order; none if there is no such folder
+    def make_folder(self, path: str) -> None: ...  # makes it and those above it, where missing, durably
+    def list_folder(self, path: str) -> list[str]: ...  # in order; none if there is no such folder
     def sync_folder(self, path: str) -> None: ...
 
 
-class RealVolume:
+class RealFileSystem:
     """This machine's."""
 
     def open(self, path: str, create: bool = False) -> int:
@@ -53,7 +53,7 @@
     def remove(self, path: str) -> None:
         os.unlink(path)
 
-    def folder(self, path: str) -> None:
+    def make_folder(self, path: str) -> None:
         made, here = [], os.path.abspath(path)
         while not os.path.isdir(here):
             made.append(here)
@@ -62,7 +62,7 @@
         for one in made:
             self.sync_folder(os.path.dirname(one))
 
-    def names(self, path: str) -> list[str]:
+    def list_folder(self, path: str) -> list[str]:
         try:
             return sorted(os.listdir(path))
         except (FileNotFoundError, NotADirectoryError):
--- a/stackpitch/loop/watching.py
+++ b/stackpitch/loop/folder_watch.py
@@ -34,7 +34,7 @@
         self.watches: dict[str, int] = {}  # as many as folders are aimed at
         self.interest = Interest(world, inotify.fileno(), select.EPOLLIN, self.on_event)
 
-    def aim(self, folders: Sequence[str]) -> None:
+    def set_folders(self, folders: Sequence[str]) -> None:
         for folder in [one for one in self.watches if one not in folders]:
             self._drop(folder)
         for folder in folders:
@@ -60,7 +60,7 @@
         if self.waiter is not None:
             self.waiter.wake()
 
-    def happened(self) -> Coro[None]:
+    def wait(self) -> Coro[None]:
         while not self.hint:
             self.waiter = self.world.current
             try:
--- a/stackpitch/loop/real/listener.py
+++ b/stackpitch/loop/real/listener.py
@@ -11,7 +11,7 @@
 from stackpitch.loop.real.stream import RealStream
 from stackpitch.loop.task import Coro, Task
 from stackpitch.loop.timers import Time
-from stackpitch.loop.world import Address, Lost
+from stackpitch.loop.world import Address, ConnectionLost
 
 if TYPE_CHECKING:
     from stackpitch.loop.real.world import RealWorld
@@ -56,7 +56,7 @@
             raise
         self.waiter: Task | None = None
         self.failed = 0  # calls of accept since the last that brought a connection
-        self.choked, self.fillers = False, list[socket.socket]()
+        self.blocked, self.fillers = False, list[socket.socket]()
         self.finishing = False
         self.row = 0
         self.since: Time | None = (
@@ -66,11 +66,11 @@
 
     def on_event(self, events: int) -> None:
         if self.since is None:
-            self.since = self.marked = self.world.found
+            self.since = self.marked = self.world.earliest_event
             self.since_marked = 0
         if self.waiter is not None:
             self.waiter.wake()
-        elif not self.choked:
+        elif not self.blocked:
             self.interest.change(0)  # nobody accepts now: no spinning on a full queue
 
     def accept(self) -> Coro[RealStream]:
@@ -79,17 +79,17 @@
             self.row = 0
             yield from self.world.pause()
         while True:
-            if not self.choked:
+            if not self.blocked:
                 try:
                     sock, peer = self.sock.accept()
                 except BlockingIOError:
                     self.since = None
                     if self.finishing:
                         self.close()
-                        raise Lost("closed here") from None
+                        raise ConnectionLost("closed here") from None
                 except OSError as wrong:
                     if self.sock.fileno() < 0:
-                        raise Lost("closed here") from None
+                        raise ConnectionLost("closed here") from None
                     yield from self._rest_after(wrong)
                     continue
                 else:
@@ -123,31 +123,31 @@
         self.since_marked += 1
         if self.since_marked > self.backlog:
             self.since, self.marked, self.since_marked = self.marked, self.world.now(), 0
-        return self.world.polled if self.since is None else self.since
+        return self.world.polled_at if self.since is None else self.since
 
     def _knock(self) -> Coro[None]:
         """Waits until somebody may be there."""
         self.row = 0
         self.waiter = self.world.current
-        if not self.choked:
+        if not self.blocked:
             self.interest.change(select.EPOLLIN)
         try:
             yield
         finally:
             self.waiter = None
 
-    def choke(self, on: bool) -> None:
+    def block_connections(self, on: bool) -> None:
         """Fills the accept queue with connections of our own, so that the kernel drops others' first packets."""
-        if on and not self.choked:
-            self.choked = True
+        if on and not self.blocked:
+            self.blocked = True
             self.interest.change(0)
             self.sock.listen(0)
             for _ in range(2):
                 filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
                 filler.connect_ex(self.address)
                 self.fillers.append(filler)
-        elif not on and self.choked:
-            self.choked = False
+        elif not on and self.blocked:
+            self.blocked = False
             for filler in self.fillers:
                 filler.close()
             self.fillers.clear()
@@ -168,4 +168,4 @@
             self.interest.end()
             close_socket(self.sock)
             if self.waiter is not None:
-                self.waiter.throw(Lost("closed here"))
+                self.waiter.throw(ConnectionLost("closed here"))
--- a/stackpitch/loop/real/stream.py
+++ b/stackpitch/loop/real/stream.py
@@ -13,7 +13,7 @@
 from stackpitch.loop.real.interest import Interest
 from stackpitch.loop.task import Coro, Task
 from stackpitch.loop.timers import Time
-from stackpitch.loop.world import Address, Lost
+from stackpitch.loop.world import Address, ConnectionLost
 
 if TYPE_CHECKING:
     from stackpitch.loop.real.world import RealWorld
@@ -52,9 +52,9 @@
         self.writer: Task | None = None
         self.out = bytearray()
         self.row = 0
-        self.came = world.now() if since is None else since
+        self.arrived_at = world.now() if since is None else since
         self.since: Time | None = (
-            self.came
+            self.arrived_at
         )  # when what may be read came at the earliest; None: nothing is known to be there
         self.fd = sock.fileno()
         self.interest = Interest(world, self.fd, WAIT_IN, self.on_event)
@@ -77,7 +77,7 @@
             self.interest.change(self.interest.events & ~WAIT_IN)
         self.readable = self.told = True
         if self.since is None:
-            self.since = self.world.found
+            self.since = self.world.earliest_event
         if self.reader is not None:
             self.reader.wake(True)
 
@@ -85,7 +85,8 @@
         if self.out:
             try:
                 self._push()
-            except Lost:  # whoever waits must not take the empty buffer for bytes that were handed over
+            except ConnectionLost:
+                # A waiting `drain` must not take the emptied buffer for bytes that were sent.
                 self.broken = True
                 self.out.clear()
         if self.writer is not None:
@@ -96,25 +97,25 @@
         self.readable, self.told, self.since = False, False, None
         self.interest.change(self.interest.events | WAIT_IN)
 
-    def attend(self, task: Task | None) -> None:
+    def wake_on_input(self, task: Task | None) -> None:
         self.reader = task
         if task is not None and (self.readable or self.closed):
             task.wake(True)
 
-    def recv_now(self, most: int = 65536, look: bool = False) -> bytes | None:
+    def recv_now(self, most: int = 65536, force: bool = False) -> bytes | None:
         if self.closed:
-            raise Lost("closed here")
-        if not (self.readable or look):
+            raise ConnectionLost("closed here")
+        if not (self.readable or force):
             return None
         try:
             data = self.sock.recv(most)
         except OSError as wrong:
             if wrong.errno not in NOT_NOW:
-                raise Lost(os.strerror(wrong.errno or 0)) from None
+                raise ConnectionLost(os.strerror(wrong.errno or 0)) from None
             if not self.eof:
                 self._emptied()
             return None
-        self.came = self.world.polled if self.since is None else self.since
+        self.arrived_at = self.world.polled_at if self.since is None else self.since
         self.eof = self.eof or not data
         if len(data) < most and not self.eof:
             self._emptied()
@@ -136,7 +137,7 @@
 
     def write(self, data: bytes) -> None:
         if self.closed:
-            raise Lost("closed here")
+            raise ConnectionLost("closed here")
         if self.out:
             self.out += data
             return
@@ -152,7 +153,7 @@
         except OSError as wrong:
             if wrong.errno in NOT_NOW:
                 return 0
-            raise Lost(os.strerror(wrong.errno or 0)) from None
+            raise ConnectionLost(os.strerror(wrong.errno or 0)) from None
 
     def _push(self) -> None:
         """Hands over what the system takes now; the rest, if there is any, at its next word."""
@@ -166,14 +167,14 @@
     def drain(self, below: int = 0) -> Coro[None]:
         while len(self.out) > below or self.broken:
             if self.closed or self.broken:
-                raise Lost("closed here" if self.closed else "Broken pipe")
+                raise ConnectionLost("closed here" if self.closed else "Broken pipe")
             self.writer = self.world.current
             try:
                 yield
             finally:
                 self.writer = None
             if self.closed:  # which empties the buffer
-                raise Lost("closed here")
+                raise ConnectionLost("closed here")
 
     def unacknowledged(self) -> int:
         if self.closed:
--- a/stackpitch/loop/real/world.py
+++ b/stackpitch/loop/real/world.py
@@ -17,9 +17,9 @@
 from stackpitch.loop.world import Address, World
 
 if TYPE_CHECKING:  # imported when first used: threads, children and inotify cost a third of the loop's start
-    from stackpitch.loop.aside import Aside
     from stackpitch.loop.children import RealChild
-    from stackpitch.loop.watching import RealWatch
+    from stackpitch.loop.folder_watch import RealWatch
+    from stackpitch.loop.worker_thread import WorkerThread
 
 T = TypeVar("T")
 
@@ -27,7 +27,7 @@
 class RealWorld(World):
     def __init__(self, seed: int = 0) -> None:
         super().__init__(seed)
-        self.asides: dict[str, Aside] = {}  # by queue; as many as the program has names for
+        self.worker_threads: dict[str, WorkerThread] = {}  # by queue; as many as the program has names for
         self.epoll = select.epoll()
         self.handlers: dict[int, Callable[[int], None]] = {}  # by descriptor; emptied by `Interest.end`
 
@@ -37,12 +37,12 @@
     def wall_ms(self) -> int:
         return time.time_ns() // 1_000_000
 
-    def fresh(self, what: str = "start") -> int:
+    def unique_id(self, what: str = "start") -> int:
         return int.from_bytes(os.urandom(6), "big")
 
-    def descriptors(self) -> int:
+    def max_descriptors(self) -> int:
         most = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        return super().descriptors() if most == resource.RLIM_INFINITY else most
+        return super().max_descriptors() if most == resource.RLIM_INFINITY else most
 
     def poll(self, until: Time | None) -> None:
         if until is None:
@@ -75,12 +75,12 @@
         child, ours = spawn_piped(self, command, errors)
         return child, RealStream(self, ours, ("child", child.pid))
 
-    def aside(self, call: Callable[[], T], queue: str = "") -> Coro[T]:
-        aside = self.asides.get(queue)
-        if aside is None:
-            from stackpitch.loop.aside import Aside
+    def run_blocking(self, call: Callable[[], T], queue: str = "") -> Coro[T]:
+        worker = self.worker_threads.get(queue)
+        if worker is None:
+            from stackpitch.loop.worker_thread import WorkerThread
 
-            aside = self.asides[queue] = Aside(self)
+            worker = self.worker_threads[queue] = WorkerThread(self)
         found: list[T] = []
         wrong: list[Exception] = []
         task, waits = self.current, [True]
@@ -95,7 +95,7 @@
             if waits[0]:
                 task.wake()
 
-        aside.submit(work, then)
+        worker.submit(work, then)
         try:
             while not found and not wrong:
                 yield
@@ -106,7 +106,7 @@
         return found[0]
 
     def watch(self) -> "RealWatch | None":
-        from stackpitch.loop.watching import watching
+        from stackpitch.loop.folder_watch import watching
 
         return watching(self)
 
--- a/stackpitch/loop/task.py
+++ b/stackpitch/loop/task.py
@@ -58,7 +58,7 @@
         self.task = None
         return isinstance(error, Cancelled) and error.scope is self
 
-    def relax(self) -> None:
+    def remove_limit(self) -> None:
         """Takes the time limit away, as when the first token has come. Also one that came up in the same turn, after
         that token and before the task went on: it must not strike what has begun."""
         self._disarm()
@@ -114,7 +114,7 @@
             self.scheduled = True
             self.world.ready.append((self, None, error))
 
-    def struck(self) -> Scope | None:
+    def cancelled_scope(self) -> Scope | None:
         """The outermost cancelled scope that no shield hides."""
         found = None
         for scope in reversed(self.scopes):
@@ -125,7 +125,7 @@
         return found
 
     def interrupt(self) -> None:
-        if self.world.current_or_none is not self and (scope := self.struck()) is not None:
+        if self.world.current_or_none is not self and (scope := self.cancelled_scope()) is not None:
             self.throw(Cancelled(scope))
 
     def cancel(self) -> None:
@@ -147,7 +147,7 @@
         except BaseException as wrong:
             self.error = wrong
         else:
-            if self.alert and (scope := self.struck()) is not None:
+            if self.alert and (scope := self.cancelled_scope()) is not None:
                 self.throw(Cancelled(scope))
             return
         self.ended = True
--- a/stackpitch/loop/timers.py
+++ b/stackpitch/loop/timers.py
@@ -18,7 +18,7 @@
     def cancel(self) -> None:
         if self.call is not None:
             self.call = None
-            self.owner.bury()
+            self.owner.count_cancelled()
 
 
 class Timers:
@@ -39,7 +39,7 @@
         heappush(self.heap, (when, self.count, timer))
         return timer
 
-    def bury(self) -> None:
+    def count_cancelled(self) -> None:
         self.dead += 1
         if self.dead > self.SWEEP and self.dead * 2 > len(self.heap):
             self.heap = [one for one in self.heap if one[2].call is not None]
--- a/stackpitch/loop/virtual/listener.py
+++ b/stackpitch/loop/virtual/listener.py
@@ -6,7 +6,7 @@
 from stackpitch.loop.task import Coro, Task
 from stackpitch.loop.virtual.process import Process
 from stackpitch.loop.virtual.stream import VirtualStream
-from stackpitch.loop.world import Address, Lost, Stream
+from stackpitch.loop.world import Address, ConnectionLost, Stream
 
 if TYPE_CHECKING:
     from stackpitch.loop.virtual.world import VirtualWorld
@@ -19,7 +19,7 @@
         self.world, self.address, self.backlog, self.process = world, address, backlog, process
         self.queue: deque[VirtualStream] = deque()
         self.waiter: Task | None = None
-        self.choked = self.closed = self.finishing = False
+        self.blocked = self.closed = self.finishing = False
         self.late = 0  # by so much connections come about later
         self.window: int | None = (
             None  # bytes that its connections take before they are read; None: the usual
@@ -28,11 +28,11 @@
             process.things[self] = None
 
     def accept(self) -> Coro[Stream]:
-        while not self.queue or self.choked:
+        while not self.queue or self.blocked:
             if self.finishing:
                 self.close()
             if self.closed:
-                raise Lost("closed here")
+                raise ConnectionLost("closed here")
             self.waiter = self.world.current
             try:
                 yield
@@ -40,8 +40,8 @@
                 self.waiter = None
         return self.queue.popleft()
 
-    def choke(self, on: bool) -> None:
-        self.choked = on
+    def block_connections(self, on: bool) -> None:
+        self.blocked = on
         if not on and self.waiter is not None:
             self.waiter.wake()
 
@@ -59,6 +59,6 @@
             for stream in self.queue:
                 stream.abort()
             if self.waiter is not None:
-                self.waiter.throw(Lost("closed here"))
+                self.waiter.throw(ConnectionLost("closed here"))
 
     abort = close
--- a/stackpitch/loop/virtual/stream.py
+++ b/stackpitch/loop/virtual/stream.py
@@ -6,7 +6,7 @@
 from stackpitch.loop.task import Coro, Task
 from stackpitch.loop.timers import Time
 from stackpitch.loop.virtual.process import Process
-from stackpitch.loop.world import Address, Lost
+from stackpitch.loop.world import Address, ConnectionLost
 
 if TYPE_CHECKING:
     from stackpitch.loop.virtual.world import VirtualWorld
@@ -31,23 +31,23 @@
             process.things[self] = None
 
     @property
-    def came(self) -> Time:
-        return self.world.found
+    def arrived_at(self) -> Time:
+        return self.world.earliest_event
 
     @property
     def buffered(self) -> int:
         return len(self.out)
 
-    def attend(self, task: Task | None) -> None:
+    def wake_on_input(self, task: Task | None) -> None:
         self.reader = task
         if task is not None and (self.inbox or self.eof or self.broken or self.closed):
             task.wake(True)
 
-    def recv_now(self, most: int = 65536, look: bool = False) -> bytes | None:
+    def recv_now(self, most: int = 65536, force: bool = False) -> bytes | None:
         if self.closed:
-            raise Lost("closed here")
+            raise ConnectionLost("closed here")
         if self.broken:
-            raise Lost("Connection reset by peer")
+            raise ConnectionLost("Connection reset by peer")
         if not self.inbox:
             return b"" if self.eof else None
         data = self.inbox.popleft()
@@ -71,9 +71,9 @@
 
     def write(self, data: bytes) -> None:
         if self.closed:
-            raise Lost("closed here")
+            raise ConnectionLost("closed here")
         if self.broken:
-            raise Lost("Broken pipe")
+            raise ConnectionLost("Broken pipe")
         self.out += data
         self.push()
 
@@ -119,14 +119,14 @@
     def drain(self, below: int = 0) -> Coro[None]:
         while len(self.out) > below:
             if self.closed or self.broken:
-                raise Lost("closed here" if self.closed else "Broken pipe")
+                raise ConnectionLost("closed here" if self.closed else "Broken pipe")
             self.writer = self.world.current
             try:
                 yield
             finally:
                 self.writer = None
             if self.closed:  # which empties the buffer
-                raise Lost("closed here")
+                raise ConnectionLost("closed here")
 
     def unacknowledged(self) -> int:
         return 0 if self.closed or self.broken else len(self.out) + self.other.held
--- a/stackpitch/loop/virtual/world.py
+++ b/stackpitch/loop/virtual/world.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable, Sequence
 from typing import Any, TypeVar
 
+from stackpitch.loop.file_system import FileSystem
 from stackpitch.loop.task import Coro, Task
 from stackpitch.loop.timers import Time, Timer
 from stackpitch.loop.virtual.disk import Disk, VirtualFiles
 from stackpitch.loop.virtual.listener import VirtualListener
 from stackpitch.loop.virtual.process import Process, VirtualChild, VirtualTask
 from stackpitch.loop.virtual.stream import VirtualStream
-from stackpitch.loop.volume import Volume
 from stackpitch.loop.world import Address, ConnectFailed, Stream, Watch, World
 
 T = TypeVar("T")
@@ -26,23 +26,27 @@
     pipes = False
 
     def __init__(
-        self, seed: int = 0, latency: Time = 2, programs: Program | None = None, volume: Volume | None = None
+        self,
+        seed: int = 0,
+        latency: Time = 2,
+        programs: Program | None = None,
+        file_system: FileSystem | None = None,
     ) -> None:
         super().__init__(seed)
         self.time: Time = 1_000_000
-        self.latency, self.programs, self.one_volume = latency, programs, volume
-        self.random = self.chance("network")
+        self.latency, self.programs, self.shared_file_system = latency, programs, file_system
+        self.random = self.rng("network")
         self.listeners: dict[Address, VirtualListener] = {}
         self.processes: dict[Task, Process] = {}  # emptied as tasks end
         self.left: list[Task] = []  # of killed processes; bounded by what they had under way
         self.acting: Process | None = None  # whose timer comes up now
-        self.disk = Disk(self.chance("disk"))
+        self.disk = Disk(self.rng("disk"))
         self.next_port, self.next_pid = 40_000, 100
         self.starts: Counter[str] = Counter()  # by what a fresh number is for: as many as the program has
 
-    def bury(self) -> None:
+    def close(self) -> None:
         """Lets go of what killed processes left, once nobody looks any more: unwinding it does harm to nobody now."""
-        self.over = True
+        self.closing = True
         for task in self.left:
             self.current_or_none = task
             try:
@@ -65,9 +69,9 @@
     def wall_ms(self) -> int:
         return EPOCH_MS + self.time // 10
 
-    def fresh(self, what: str = "start") -> int:
+    def unique_id(self, what: str = "start") -> int:
         self.starts[what] += 1
-        return self.chance(f"{what} {self.starts[what]}").getrandbits(48)
+        return self.rng(f"{what} {self.starts[what]}").getrandbits(48)
 
     def poll(self, until: Time | None) -> None:
         if until is None:
@@ -122,7 +126,7 @@
         if listener is None:
             yield from self.sleep(min(latency, limit))
             raise ConnectFailed("Connection refused")
-        if listener.choked or len(listener.queue) >= listener.backlog or 2 * latency + listener.late > limit:
+        if listener.blocked or len(listener.queue) >= listener.backlog or 2 * latency + listener.late > limit:
             yield from self.sleep(max(0, begun + limit - self.time))
             raise ConnectFailed(f"no connection in {limit / 10:.0f} ms")
         if listener.late:
@@ -176,17 +180,17 @@
             process.files.append(made)
         return made
 
-    def volume(self) -> Volume:
-        return self.one_volume if self.one_volume is not None else super().volume()
+    def file_system(self) -> FileSystem:
+        return self.shared_file_system if self.shared_file_system is not None else super().file_system()
 
-    def aside(self, call: Callable[[], T], queue: str = "") -> Coro[T]:
+    def run_blocking(self, call: Callable[[], T], queue: str = "") -> Coro[T]:
         yield from ()
         return call()
 
     def watch(self) -> Watch | None:
         return None
 
-    def first_of(self, numbers: Sequence[int]) -> Time | None:
+    def first_signal_time(self, numbers: Sequence[int]) -> Time | None:
         delivered = self.process.delivered if self.process is not None else {}
         return min((delivered[one] for one in numbers if one in delivered), default=None)
 
--- a/stackpitch/loop/turns.py
+++ b/stackpitch/loop/wait_queue.py
@@ -1,4 +1,4 @@
-"""Turns in order of coming: whatever comes free goes to the one that has waited longest and can use it."""
+"""Semaphore in order of coming: whatever comes free goes to the one that has waited longest and can use it."""
 
 from collections.abc import Callable
 from typing import Generic, TypeVar
@@ -9,7 +9,7 @@
 T = TypeVar("T")
 
 
-class Line(Generic[T]):
+class WaitQueue(Generic[T]):
     """Who waits, longest first. What comes free is handed over in that same step, so that nobody who comes later, or runs
     earlier, takes it from the one that is woken for it.
 
@@ -38,7 +38,7 @@
             raise
         return self.handed.pop(task)
 
-    def call(self) -> None:
+    def hand_out(self) -> None:
         """Something came free."""
         for task, grab in list(self.waiting.items()):
             if (found := grab()) is not None:
@@ -47,22 +47,22 @@
                 task.wake()
 
 
-class Turns:
+class Semaphore:
     """`most` at once; `open` is how many are. Who took a turn gives it back, also when it is cancelled meanwhile."""
 
     def __init__(self, world: World, most: int = 1) -> None:
-        self.world, self.most, self.open = world, most, 0
-        self.waiters: Line[bool] = Line()
+        self.world, self.most, self.in_use = world, most, 0
+        self.waiters: WaitQueue[bool] = WaitQueue()
 
     def _grab(self) -> bool | None:
-        if self.open >= self.most:
+        if self.in_use >= self.most:
             return None
-        self.open += 1
+        self.in_use += 1
         return True
 
-    def take(self) -> Coro[None]:
-        yield from self.waiters.wait(self.world.current, self._grab, lambda _: self.give())
+    def acquire(self) -> Coro[None]:
+        yield from self.waiters.wait(self.world.current, self._grab, lambda _: self.release())
 
-    def give(self) -> None:
-        self.open -= 1
-        self.waiters.call()
+    def release(self) -> None:
+        self.in_use -= 1
+        self.waiters.hand_out()
--- a/stackpitch/loop/aside.py
+++ b/stackpitch/loop/worker_thread.py
@@ -13,7 +13,7 @@
     from stackpitch.loop.real import RealWorld
 
 
-class Aside:
+class WorkerThread:
     """One thread for calls that block, and the socket by which it says that one is done."""
 
     def __init__(self, world: "RealWorld") -> None:
--- a/stackpitch/loop/world.py
+++ b/stackpitch/loop/world.py
@@ -7,17 +7,17 @@
 from typing import Any, Protocol, TypeVar
 from zlib import crc32
 
+from stackpitch.loop.file_system import FileSystem, RealFileSystem
 from stackpitch.loop.files import Files, RealFiles
 from stackpitch.loop.task import Coro, Group, Scope, Task, run_group
 from stackpitch.loop.timers import Time, Timer, Timers
-from stackpitch.loop.volume import RealVolume, Volume
 
 AT_ONCE: Time = 10  # a poll that took no longer did not wait
 T = TypeVar("T")
 Address = tuple[str, int]
 
 
-class Lost(Exception):
+class ConnectionLost(Exception):
     """The connection broke, or was closed here while something waited on it."""
 
 
@@ -42,19 +42,21 @@
     closed: bool  # from here
 
     @property
-    def came(
+    def arrived_at(
         self,
     ) -> Time: ...  # since when what `recv` gave last, or the connection itself, may have been there
     @property
     def buffered(self) -> int: ...  # bytes written here and not yet handed over
-    def recv(self, most: int = 65536) -> Coro[bytes]: ...  # b"" at the end; raises Lost
-    def recv_now(self, most: int = 65536, look: bool = False) -> bytes | None:
-        """None if nothing has come; raises Lost. `look`: asks the system also if it has told of nothing since."""
+    def recv(self, most: int = 65536) -> Coro[bytes]: ...  # b"" at the end; raises ConnectionLost
+    def recv_now(self, most: int = 65536, force: bool = False) -> bytes | None:
+        """None if nothing has come; raises ConnectionLost. `look`: asks the system also if it has told of nothing since."""
         ...
 
-    def write(self, data: bytes) -> None: ...  # raises Lost
-    def drain(self, below: int = 0) -> Coro[None]: ...  # until no more than so much is buffered; raises Lost
-    def attend(
+    def write(self, data: bytes) -> None: ...  # raises ConnectionLost
+    def drain(
+        self, below: int = 0
+    ) -> Coro[None]: ...  # until no more than so much is buffered; raises ConnectionLost
+    def wake_on_input(
         self, task: Task | None
     ) -> None: ...  # wakes the task with True once there is something to recv
     def close(self) -> None: ...  # what is buffered is dropped
@@ -71,9 +73,11 @@
     address: Address
 
     def accept(self) -> Coro[Stream]: ...
-    def choke(self, on: bool) -> None: ...  # new connections don't come about, open ones go on (stand-ins)
+    def block_connections(
+        self, on: bool
+    ) -> None: ...  # new connections don't come about, open ones go on (stand-ins)
     def finish(self) -> None:
-        """Closes once all connections that are already queued have been accepted; `accept` raises Lost then."""
+        """Closes once all connections that are already queued have been accepted; `accept` raises ConnectionLost then."""
         ...
 
     def close(self) -> None: ...
@@ -90,10 +94,10 @@
 class Watch(Protocol):
     """Hints that something happened in folders. They may come for nothing and some may be lost: look as well."""
 
-    def aim(
+    def set_folders(
         self, folders: Sequence[str]
     ) -> None: ...  # these from now on; those that are not there are left out
-    def happened(
+    def wait(
         self,
     ) -> Coro[None]: ...  # waits for a hint since the last call; one is enough for any number
     def close(self) -> None: ...
@@ -110,13 +114,15 @@
         self.timers = Timers()
         self.ready: deque[tuple[Task, Any, BaseException | None]] = deque()
         self.current_or_none: Task | None = None
-        self.over = False  # all that is still done is clearing away
-        self.turn = 0  # polls so far
-        self.polled: Time = 0  # end of the last poll
-        self.delivered: dict[int, Time] = {}  # signals that are caught, by number: `first_of`
-        self.unseen: Time = 0  # at most how long what it found had waited for it
-        self.on_hog: Callable[[str, Time], None] | None = None  # name and time of a step over `hog_limit`
-        self.hog_limit: Time = 500
+        self.closing = False  # all that is still done is clearing away
+        self.poll_count = 0  # polls so far
+        self.polled_at: Time = 0  # end of the last poll
+        self.delivered: dict[int, Time] = {}  # signals that are caught, by number: `first_signal_time`
+        self.max_detection_delay: Time = 0  # at most how long what it found had waited for it
+        self.on_slow_step: Callable[[str, Time], None] | None = (
+            None  # name and time of a step over `slow_step_limit`
+        )
+        self.slow_step_limit: Time = 500
         self.faults: Counter[tuple[str, str]] = Counter()  # by call and cause; emptied by `take_faults`
 
     @property
@@ -145,7 +151,7 @@
         """A child whose standard input and output are a stream's other end."""
 
     @abstractmethod
-    def aside(self, call: Callable[[], T], queue: str = "") -> Coro[T]:
+    def run_blocking(self, call: Callable[[], T], queue: str = "") -> Coro[T]:
         """Runs a call that blocks (files, no more) where it holds up nobody; those of one queue one at a time, in order.
         A disk that is slow holds up its own queue alone."""
 
@@ -159,9 +165,9 @@
 
     def deliver(self, number: int) -> None:
         """Notes that a signal has come, before any task runs that finds what came with it."""
-        self.delivered.setdefault(number, self.polled)  # the process may not have run since
+        self.delivered.setdefault(number, self.polled_at)  # the process may not have run since
 
-    def first_of(self, numbers: Sequence[int]) -> Time | None:
+    def first_signal_time(self, numbers: Sequence[int]) -> Time | None:
         """The earliest time at which the first of these signals may have been sent; None: none of them has come."""
         return min((self.delivered[one] for one in numbers if one in self.delivered), default=None)
 
@@ -169,23 +175,23 @@
         """Those of this machine, or made-up ones that lose what was not synced."""
         return RealFiles()
 
-    def volume(self) -> Volume:
+    def file_system(self) -> FileSystem:
         """The disk that large files lie on, by which word goes for `files`."""
-        return RealVolume()
+        return RealFileSystem()
 
     @abstractmethod
-    def fresh(self, what: str = "start") -> int:
+    def unique_id(self, what: str = "start") -> int:
         """48 bits that no other start of a process has: tells one start from another, decides nothing. `what` it is for;
         a made-up world draws for each by itself."""
 
-    def descriptors(self) -> int:
+    def max_descriptors(self) -> int:
         """How many this process may hold."""
         return 1 << 30
 
     @property
-    def found(self) -> Time:
+    def earliest_event(self) -> Time:
         """Since when what the last poll found may have been there, however long ago in this turn that poll was."""
-        return self.polled - self.unseen
+        return self.polled_at - self.max_detection_delay
 
     def note_fault(self, call: str, cause: str) -> None:
         """A call of the system failed for a reason of this machine's own."""
@@ -197,7 +203,7 @@
         self.faults.clear()
         return found
 
-    def chance(self, name: str) -> Random:
+    def rng(self, name: str) -> Random:
         """A source of its own for each name, from the world's seed."""
         return Random(crc32(f"{self.seed} {name}".encode()))
 
@@ -244,9 +250,9 @@
         self.poll(0 if self.ready else due)
         now = self.now()
         at_once = now - begun < AT_ONCE
-        self.unseen = now - before if at_once else max(0, now - due) if due is not None else 0
-        self.turn += 1
-        self.polled = now
+        self.max_detection_delay = now - before if at_once else max(0, now - due) if due is not None else 0
+        self.poll_count += 1
+        self.polled_at = now
         return now
 
     def run(self, main: Coro[T]) -> T:
@@ -261,10 +267,10 @@
                     continue
                 self.current_or_none = task
                 task.step(value, error)
-                if self.on_hog is not None:
+                if self.on_slow_step is not None:
                     ended = self.now()
-                    if ended - begun > self.hog_limit:
-                        self.on_hog(task.name, ended - begun)
+                    if ended - begun > self.slow_step_limit:
+                        self.on_slow_step(task.name, ended - begun)
                     begun = ended
             self.current_or_none = None
             if root.ended:
--- a/stackpitch/membership/bundle.py
+++ b/stackpitch/membership/bundle.py
@@ -35,16 +35,16 @@
     more: int = 0  # lines of entries that follow this one, between processes
 
 
-def files_of(config: Path | None, settings: Settings) -> list[Path]:
+def config_files(config: Path | None, settings: Settings) -> list[Path]:
     """All that are read for these settings."""
     found = [config] if config is not None else []
     found.append(Path(settings.roster))
     if settings.weights:
         found.append(Path(settings.weights))
-    return found + statements_of(settings)
+    return found + statement_files(settings)
 
 
-def statements_of(settings: Settings) -> list[Path]:
+def statement_files(settings: Settings) -> list[Path]:
     found: list[Path] = []
     for one in settings.statements:
         path = Path(one)
@@ -62,7 +62,7 @@
     return found
 
 
-def entries_of(fleet: Fleet, weights: Mapping[str, float], path: str) -> tuple[Entry, ...]:
+def build_entries(fleet: Fleet, weights: Mapping[str, float], path: str) -> tuple[Entry, ...]:
     """Raises BadSettings on weights of servers that are not listed."""
     names = {one.name for one in fleet.servers}
     unknown = [name for name in weights if name not in names]
@@ -73,7 +73,7 @@
     )
 
 
-def meaning(fleet: Fleet, settings: Settings) -> list[str]:
+def validate_fleet(fleet: Fleet, settings: Settings) -> list[str]:
     """What is wrong with a list beyond its form."""
     wrong, names, addresses = [], dict[str, int](), dict[tuple[str, int], str]()
     for number, one in enumerate(fleet.servers):
@@ -91,20 +91,20 @@
     return wrong
 
 
-def read_set(config: Path | None, given: Mapping[str, str], known: Settings | None = None) -> Bundle:
+def read_bundle(config: Path | None, given: Mapping[str, str], known: Settings | None = None) -> Bundle:
     """Never raises for what stands in the files. Without a `config`, with the settings that are known."""
     paths, problems = [config] if config is not None else [], list[str]()
     bundle = Bundle({})
     try:
         settings = known if config is None and known is not None else read(Settings, config or Path(), given)
-        paths = files_of(config, settings)
+        paths = config_files(config, settings)
         before = fingerprints(paths)
         fleet = read(Fleet, Path(settings.roster))
         weights = read(Weights, Path(settings.weights)).root if settings.weights else {}
-        problems += [f"{settings.roster}: {one}" for one in meaning(fleet, settings)]
-        entries = entries_of(fleet, weights, settings.weights)
+        problems += [f"{settings.roster}: {one}" for one in validate_fleet(fleet, settings)]
+        entries = build_entries(fleet, weights, settings.weights)
         told = digest(entries)
-        if fleet.digest and fleet.digest != (plain := digest(entries_of(fleet, {}, ""))):
+        if fleet.digest and fleet.digest != (plain := digest(build_entries(fleet, {}, ""))):
             problems.append(
                 f"{settings.roster}: digest: found {fleet.digest!r}; that of these servers is {plain!r}"
             )
@@ -124,7 +124,7 @@
     """Statements marked as guards that do not hold, and how many there are."""
     if not settings.statements:
         return [], 0
-    book = Book([read_page(path) for path in statements_of(settings)])
+    book = Book([read_page(path) for path in statement_files(settings)])
     weighed = check(
         Fleet,
         {
@@ -145,7 +145,7 @@
     ], len(names)
 
 
-class Asked(msgspec.Struct):
+class ReadRequest(msgspec.Struct):
     """A line that the checker is sent. Its answer is a bundle without its entries, then these in lines of SLICE each,
     so that who reads it need not take all at once."""
 
@@ -156,8 +156,8 @@
 def serve_lines(source: BinaryIO, sink: BinaryIO) -> None:
     """The checker's whole life: until its gateway closes the other end."""
     for line in source:
-        asked = msgspec.json.decode(line, type=Asked)
-        bundle = read_set(Path(asked.config), asked.given)
+        asked = msgspec.json.decode(line, type=ReadRequest)
+        bundle = read_bundle(Path(asked.config), asked.given)
         entries, bundle.entries = bundle.entries, ()
         slices = [entries[at : at + SLICE] for at in range(0, len(entries), SLICE)]
         bundle.more = len(slices)
--- a/stackpitch/membership/entries.py
+++ b/stackpitch/membership/entries.py
@@ -70,7 +70,7 @@
         return ", ".join(parts) or "nothing"
 
 
-def change(old: Mapping[str, Entry], new: Mapping[str, Entry]) -> Change:
+def diff(old: Mapping[str, Entry], new: Mapping[str, Entry]) -> Change:
     changed = []
     for name in sorted(old.keys() & new.keys()):
         one, other = old[name], new[name]
--- a/stackpitch/membership/registrar.py
+++ b/stackpitch/membership/registrar.py
@@ -17,11 +17,11 @@
 from stackpitch.interface import Role, Time
 from stackpitch.membership.entries import Entry, Proposal
 
-Word = Literal["accepted", "in steps", "held back", "rejected", "repeated"]
+Outcome = Literal["accepted", "in steps", "held back", "rejected", "repeated"]
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class RegistrarConfig:
     """`step_share`: part of a role's ready servers that may be missing at once, or from one step to the next."""
 
     step_share: float
@@ -38,7 +38,7 @@
 class Verdict:
     """What became of a proposal, or of time going by. `entries`: the list in force now, or None if it did not change."""
 
-    word: Word
+    outcome: Outcome
     reasons: tuple[str, ...] = ()
     entries: tuple[Entry, ...] | None = None
 
@@ -78,9 +78,9 @@
     """The fleet as one gateway has it. All tables are bounded by what lists name; `flaps` empties by calm."""
 
     def __init__(
-        self, figures: Figures, roles: Mapping[str, Role], sources: Iterable[str] = ("file",)
+        self, config: RegistrarConfig, roles: Mapping[str, Role], sources: Iterable[str] = ("file",)
     ) -> None:
-        self.figures, self.roles = figures, roles
+        self.config, self.roles = config, roles
         self.sources = {name: Source(order) for order, name in enumerate(sources)}
         self.in_force: dict[str, Entry] = {}
         self.flaps: dict[str, Flap] = {}
@@ -115,9 +115,9 @@
         self._note_flaps(now, source, proposal)
         doubts = [] if force or not self.in_force else self._doubts(source, proposal)
         if doubts:
-            seconds = self.figures.persist / 10_000
+            seconds = self.config.persist / 10_000
             reasons += [*doubts, f"taken once it is confirmed, or has stood unchanged for {seconds:g} s"]
-            source.held = Held(proposal, tuple(reasons), now + self.figures.persist)
+            source.held = Held(proposal, tuple(reasons), now + self.config.persist)
             return Verdict("held back", tuple(reasons))
         return self._take(now, source, proposal, reasons, at_once=force or not self.in_force)
 
@@ -219,14 +219,14 @@
                 return  # the first list
             flap = self.flaps.get(name)
             if flap is None:
-                flap = self.flaps[name] = Flap(name in known, deque(maxlen=self.figures.flap_count))
+                flap = self.flaps[name] = Flap(name in known, deque(maxlen=self.config.flap_count))
             flap.there = name in listed
             flap.changes.append(now)
-            full = len(flap.changes) == self.figures.flap_count
-            flap.damped = flap.damped or (full and now - flap.changes[0] <= self.figures.flap_window)
+            full = len(flap.changes) == self.config.flap_count
+            flap.damped = flap.damped or (full and now - flap.changes[0] <= self.config.flap_window)
 
     def _calm_at(self, flap: Flap) -> Time:
-        return flap.changes[-1] + (self.figures.flap_calm if flap.damped else self.figures.flap_window)
+        return flap.changes[-1] + (self.config.flap_calm if flap.damped else self.config.flap_window)
 
     # What comes into force.
 
@@ -260,14 +260,14 @@
             for one in sorted(missing, key=lambda one: crc32(one.name.encode())):
                 role = self.roles[one.kind]
                 if one.state == "ready" and gone[role] + 1 > max(
-                    1, int(self.figures.step_share * ready[role])
+                    1, int(self.config.step_share * ready[role])
                 ):
                     stay.append(one)
                 elif one.state == "ready":
                     gone[role] += 1
         self.in_force = target | {one.name: one for one in stay}
         self.leaving = [one.name for one in stay]
-        self.next_step = now + self.figures.step_time if stay else None
+        self.next_step = now + self.config.step_time if stay else None
 
     def _verdict(self, reasons: list[str]) -> Verdict:
         entries = tuple(self.in_force.values())
@@ -275,7 +275,7 @@
         if damped:
             reasons = [*reasons, f"come and go, so kept out until calm: {', '.join(damped[:8])}"]
         if self.leaving:
-            seconds = self.figures.step_time / 10_000
+            seconds = self.config.step_time / 10_000
             return Verdict(
                 "in steps", (*reasons, f"{len(self.leaving)} more leave, a step each {seconds:g} s"), entries
             )
--- a/stackpitch/platform/discovery.py
+++ b/stackpitch/platform/discovery.py
@@ -10,7 +10,7 @@
 
 from stackpitch.gateway.host import Host
 from stackpitch.interface import Role
-from stackpitch.loop import MS, ConnectFailed, Coro, Group, Lost, Scope, Stream, Task, Time, World
+from stackpitch.loop import MS, ConnectFailed, ConnectionLost, Coro, Group, Scope, Stream, Task, Time, World
 from stackpitch.loop.world import Address
 from stackpitch.membership.entries import Entry
 from stackpitch.platform.config import BadConfig, address
@@ -125,7 +125,7 @@
                 stream = yield from self._take_up()
                 try:
                     yield from self._follow(stream)
-                except (Lost, ConnectFailed, BadAnswer) as wrong:
+                except (ConnectionLost, ConnectFailed, BadAnswer) as wrong:
                     self._failed(wrong)
                 except (
                     Exception
@@ -160,7 +160,7 @@
                     self.take(told)
                     raise BadAnswer(PART)
                 found.append((stream, told))
-            except (Lost, ConnectFailed, BadAnswer) as wrong:
+            except (ConnectionLost, ConnectFailed, BadAnswer) as wrong:
                 self._failed(wrong)
             except Exception as wrong:  # as in `run`
                 self.log.exception("discovery_raised", why=str(wrong))
@@ -178,7 +178,7 @@
                 under_way = deque(task for task in under_way if not task.ended)
                 if len(under_way) >= TRIES:
                     under_way.popleft().cancel()
-                    self._failed(Lost("no answer to the whole list"))
+                    self._failed(ConnectionLost("no answer to the whole list"))
                 self.tried = self.world.now()
                 under_way.append(group.spawn(one(group), "ask discovery"))
                 yield from self.world.sleep(self.times.gap(place))
@@ -226,7 +226,7 @@
                         stream = yield from self.world.connect(self.target, self.times.grace)
                     told, keeps = yield from self._call(stream, f"{platform.LIST}{query}")
                 if told is None:
-                    raise Lost(f"no answer within {(self.times.wait + self.times.grace) // MS} ms")
+                    raise ConnectionLost(f"no answer within {(self.times.wait + self.times.grace) // MS} ms")
                 if since is None and not told.complete:
                     raise BadAnswer(PART)
                 if told.complete or since is None or told.revision >= since:
@@ -256,7 +256,7 @@
             while not reader.complete:
                 data = yield from stream.recv()
                 if not data:
-                    raise Lost("closed by discovery")
+                    raise ConnectionLost("closed by discovery")
                 reader.feed(data)
                 pieces += reader.pieces
             if reader.status != 200:
--- a/stackpitch/platform/leg.py
+++ b/stackpitch/platform/leg.py
@@ -65,7 +65,7 @@
                 return self._broken("garbled", "a stream without any event")
             yield from self._more(stream)
             whole += self.events.feed(reader.pieces)
-        scope.relax()
+        scope.remove_limit()
         if not self.host.leg_started(self.ask, self.leg, True):
             return self._broken("cancelled", "nobody wants it")
         self.phase[0] = Phase.STREAMING
--- a/stackpitch/platform/reloading.py
+++ b/stackpitch/platform/reloading.py
@@ -62,7 +62,7 @@
 
     def reload(self) -> None:
         """Reads the configuration anew and puts it in force. Raises BadConfig, and then nothing has changed."""
-        new = planned(self._with_kept_fields(config.read(self.given)), self.world.descriptors())
+        new = planned(self._with_kept_fields(config.read(self.given)), self.world.max_descriptors())
         old, self.plan = self.plan, new
         same = new.same_settings(old)
         if not same:
--- a/stackpitch/platform/serve.py
+++ b/stackpitch/platform/serve.py
@@ -48,7 +48,7 @@
     conf = config.read(given)
     log: Any = Lines(conf.name)
     counts: Any = NoCounts()
-    plan = planned(conf, world.descriptors())
+    plan = planned(conf, world.max_descriptors())
 
     def body(group: Group) -> Coro[None]:
         budget = Budget(plan.engines - plan.calls, plan.calls)
@@ -84,7 +84,7 @@
             fresh=SECOND * 12 // 10,
         )
         door.products, door.customers = plan.products, plan.customers
-        door.told_to_stop = lambda: world.first_of(STOP_SIGNALS)
+        door.told_to_stop = lambda: world.first_signal_time(STOP_SIGNALS)
         discovery = Discovery(
             world, host, log, conf.discovery, conf.known, watching.times(watching.share(conf.name, conf.seed))
         )
@@ -114,7 +114,7 @@
         gc.freeze()
         while (yield from caught()) == signal.SIGHUP:
             group.spawn(reloading.reload_patiently(), "reload")
-        told = world.first_of(STOP_SIGNALS) or world.now()
+        told = world.first_signal_time(STOP_SIGNALS) or world.now()
         door.retry_after = retry_elsewhere_after(reloading.plan.arguments["max_retry_after"])
         door.close_idle()
         group.spawn(_reloads(caught, reloading), "reloads")
@@ -179,7 +179,7 @@
 
 
 def _nothing() -> None:
-    """A timer that is due often lets the loop see for how long it was not run (`World.unseen`)."""
+    """A timer that is due often lets the loop see for how long it was not run (`World.max_detection_delay`)."""
 
 
 def _each(world: World, span: Time, call: Callable[[], None]) -> Coro[None]:
--- a/stackpitch/rehearse/broken/owners.py
+++ b/stackpitch/rehearse/broken/owners.py
@@ -1,5 +1,6 @@
 """Breaks of what keeps owners apart, or brings one about."""
 
+from stackpitch.durable.log import Log
 from stackpitch.duties.calls import Answer, Call, Stamp
 from stackpitch.duties.carrier import voting
 from stackpitch.duties.carrier.owning import Owning
@@ -7,7 +8,6 @@
 from stackpitch.duties.ownership.fence import Fence
 from stackpitch.duties.ownership.joining import Decision, State
 from stackpitch.duties.ownership.voter import Voter
-from stackpitch.kept.log import Log
 from stackpitch.loop import Time
 
 
--- a/stackpitch/rehearse/clients/asking.py
+++ b/stackpitch/rehearse/clients/asking.py
@@ -5,7 +5,7 @@
 import msgspec
 import xxhash
 
-from stackpitch.loop import MS, SECOND, ConnectFailed, Coro, Lost, Random, Stream, Time, World
+from stackpitch.loop import MS, SECOND, ConnectFailed, ConnectionLost, Coro, Random, Stream, Time, World
 from stackpitch.rehearse.clients.settings import ClientSettings
 from stackpitch.rehearse.clients.turn import Seen, Turn
 from stackpitch.rehearse.records import Recorder
@@ -112,12 +112,12 @@
                 stream = yield from self.world.connect(self.set.gateways[gateway], 500 * MS)
                 stream.write(http.request("POST", "/v1/chat/completions", gateway, body, headers))
                 leave_at = random.randrange(1, max(2, turn.answer_tok)) if departs else None
-                how = yield from self.read(stream, seen, scope.relax, leave_at)
+                how = yield from self.read(stream, seen, scope.remove_limit, leave_at)
             if scope.expired:
                 how = "departed" if impatient else "late"
         except ConnectFailed:
             how = "refused"
-        except Lost as wrong:
+        except ConnectionLost as wrong:
             how, seen.why = "broken", str(wrong)
         except (http.BadMessage, ValueError, msgspec.DecodeError) as wrong:
             how, seen.why = "garbled", str(wrong)
@@ -153,7 +153,7 @@
                         gateway=gateway,
                         data=data[:80].decode("latin-1"),
                     )
-        except Lost:
+        except ConnectionLost:
             pass
 
     def read(self, stream: Stream, seen: Seen, relax: Any, leave_at: int | None) -> Coro[str]:
@@ -162,7 +162,7 @@
         while True:
             data = yield from stream.recv()
             if not data:
-                raise Lost("closed")
+                raise ConnectionLost("closed")
             reader.feed(data)
             seen.status = reader.status
             if reader.status == 200:
--- a/stackpitch/rehearse/clients/sessions.py
+++ b/stackpitch/rehearse/clients/sessions.py
@@ -39,7 +39,7 @@
         )
 
     def arrive(self, group: Group) -> Coro[None]:
-        random = self.world.chance("arrivals")
+        random = self.world.rng("arrivals")
         products, shares = self.set.products, [one.share for one in self.set.products]
         turns = sum(one.turns * one.share for one in products) / sum(shares)
         weights = [
@@ -59,7 +59,7 @@
             group.spawn(self.session(f"s{self.sessions}", product), "session")
 
     def session(self, name: str, product: ProductTraffic) -> Coro[None]:
-        random = self.world.chance(f"session {name}")
+        random = self.world.rng(f"session {name}")
         customers = list(self.set.customers)
         customer = (
             random.choices(customers, [self.set.customers[one] for one in customers])[0] if customers else ""
@@ -67,11 +67,11 @@
         messages: list[dict[str, str]] = []
         hot = self.surge("hot-text")
         if hot is not None and random.random() < hot.part:
-            opening = self.text(self.world.chance("hot text"), 1000 * hot.strength)
+            opening = self.text(self.world.rng("hot text"), 1000 * hot.strength)
             messages.append({"role": "system", "content": opening})
         elif random.random() < product.opening_share:
             number = min(int(random.paretovariate(1.0)) - 1, product.openings - 1)
-            opening = self.text(self.world.chance(f"opening {product.name} {number}"), product.opening_tok)
+            opening = self.text(self.world.rng(f"opening {product.name} {number}"), product.opening_tok)
             messages.append({"role": "system", "content": opening})
         count = (
             min(12, 1 + int(random.expovariate(1 / max(1e-6, product.turns - 1)))) if product.turns > 1 else 1
@@ -89,7 +89,7 @@
             limit = product.time_limit_ms + 2 * product.slo_ms_per_ktok * prompt_tok / 1000
             turn = Turn(f"{name}.{number}", product, customer, name, messages, answer, limit)
             if self.speech is not None:
-                self.speech.speak(self.world.chance(f"speech {turn.key}"), turn)
+                self.speech.speak(self.world.rng(f"speech {turn.key}"), turn)
             if not (yield from self.asking.turn(turn, random)):
                 return
             messages = [*messages, {"role": "assistant", "content": turn.answer}]
--- a/stackpitch/rehearse/director/stage.py
+++ b/stackpitch/rehearse/director/stage.py
@@ -28,7 +28,7 @@
         self, world: World, day: Day, folder: Path, broken: str | None, say: Callable[[str], None]
     ) -> None:
         self.world, self.day, self.folder, self.broken, self.say = world, day, folder, broken, say
-        self.random = world.chance("director")
+        self.random = world.rng("director")
         self.recorder = Recorder(world, folder / "director.jsonl", "director")
         self.seats: dict[str, Seat] = {}
         self.posts: dict[str, Post] = {}
@@ -77,7 +77,7 @@
             from stackpitch.rehearse.director import vocabularies
 
             self.vocabularies = vocabularies.Vocabularies(
-                self.day, self.world.chance("vocabularies"), self.folder
+                self.day, self.world.rng("vocabularies"), self.folder
             )
             self.vocabularies.lay_out()
         for number in range(self.day.gateways):
--- a/stackpitch/rehearse/director/troubles/editor.py
+++ b/stackpitch/rehearse/director/troubles/editor.py
@@ -27,7 +27,7 @@
 
     def __init__(self, stage: Stage, lists: Lists, post: Post, gap: int) -> None:
         self.stage, self.lists, self.post, self.gap, self.world = stage, lists, post, gap, stage.world
-        self.random: Random = stage.world.chance(f"editor {post.name}")
+        self.random: Random = stage.world.rng(f"editor {post.name}")
         self.path = stage.folder / f"{post.name}.fleet"
         self.version = 1000
         self.draining: set[str] = set()
--- a/stackpitch/rehearse/director/troubles/supply.py
+++ b/stackpitch/rehearse/director/troubles/supply.py
@@ -48,7 +48,7 @@
         """In memory no file of the site grows. A process gets a limit on its files' size, whose error counts as a full disk;
         one that is started meanwhile has none."""
         assert self.stage.day.weights is not None
-        volume = self.stage.world.volume()
+        volume = self.stage.world.file_system()
         for site in sites:
             self.stage.recorder.note("disk", site=site, full=on)
             if isinstance(volume, MemoryDisk):
--- a/stackpitch/rehearse/director/weights.py
+++ b/stackpitch/rehearse/director/weights.py
@@ -15,7 +15,7 @@
 
 from stackpitch.duties.weights.manifest import made
 from stackpitch.duties.weights.wanted import checked
-from stackpitch.loop import MS, SECOND, Coro, Random, Time, Volume
+from stackpitch.loop import MS, SECOND, Coro, FileSystem, Random, Time
 from stackpitch.rehearse.director.places import HOST
 from stackpitch.rehearse.director.settings import WANTED, site_folder
 from stackpitch.rehearse.director.stage import Stage
@@ -121,9 +121,9 @@
             yield from self.stage.world.sleep(LOOK)
 
     def look(self) -> Coro[None]:
-        found = yield from self.stage.world.aside(lambda: set(self.copies()))
+        found = yield from self.stage.world.run_blocking(lambda: set(self.copies()))
         for copy in sorted(found - self.seen.keys()):
-            whole = yield from self.stage.world.aside(lambda copy=copy: self.digest(copy))  # type: ignore[misc]
+            whole = yield from self.stage.world.run_blocking(lambda copy=copy: self.digest(copy))  # type: ignore[misc]
             if whole is not None:
                 self.seen[copy] = whole
                 self.note("placed", copy, whole)
@@ -132,8 +132,8 @@
             self.note("gone", copy, "")
 
     def at_the_end(self) -> Coro[None]:
-        for copy in sorted((yield from self.stage.world.aside(lambda: set(self.copies())))):
-            whole = yield from self.stage.world.aside(lambda copy=copy: self.digest(copy))  # type: ignore[misc]
+        for copy in sorted((yield from self.stage.world.run_blocking(lambda: set(self.copies())))):
+            whole = yield from self.stage.world.run_blocking(lambda copy=copy: self.digest(copy))  # type: ignore[misc]
             if whole is not None:
                 self.note("lies", copy, whole)
 
@@ -145,16 +145,16 @@
 
     def copies(self) -> Iterator[Copy]:
         assert self.stage.day.weights is not None
-        volume = self.stage.world.volume()
+        volume = self.stage.world.file_system()
         for site in self.stage.day.weights.sites:
-            for model in volume.names(self.folder(site)):
-                for version in volume.names(f"{self.folder(site)}/{model}/placed"):
+            for model in volume.list_folder(self.folder(site)):
+                for version in volume.list_folder(f"{self.folder(site)}/{model}/placed"):
                     yield site, model, version
 
     def digest(self, copy: Copy) -> str | None:
         """None: it went meanwhile."""
         site, model, version = copy
-        volume: Volume = self.stage.world.volume()
+        volume: FileSystem = self.stage.world.file_system()
         try:
             file = volume.open(f"{self.folder(site)}/{model}/placed/{version}")
         except OSError:
--- a/stackpitch/rehearse/engine/control.py
+++ b/stackpitch/rehearse/engine/control.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from stackpitch.loop import Coro, Group, Lost, Stream
+from stackpitch.loop import ConnectionLost, Coro, Group, Stream
 from stackpitch.rehearse.engine.machine import Machine
 from stackpitch.wire import http
 
@@ -25,10 +25,10 @@
                 machine.listener = machine.world.listen((machine.set.host, machine.set.port))
         elif name == "slow-handshake":
             if machine.listener is not None:
-                machine.listener.choke(on)
+                machine.listener.block_connections(on)
         elif name == "silent":
             if machine.listener is not None:
-                machine.listener.choke(True)
+                machine.listener.block_connections(True)
             machine.ill["hang"] = 1.0
         elif on:
             machine.ill[name] = strength
@@ -55,7 +55,7 @@
             self.trouble(call["name"], call.get("strength", 1.0), call["on"])
             stream.write(http.response(200, b"{}", [("connection", "close")]))
             yield from stream.drain()
-        except (Lost, http.BadMessage):
+        except (ConnectionLost, http.BadMessage):
             pass
         finally:
             stream.close()
--- a/stackpitch/rehearse/engine/door.py
+++ b/stackpitch/rehearse/engine/door.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from stackpitch.loop import MS, Coro, Group, Lost, Stream
+from stackpitch.loop import MS, ConnectionLost, Coro, Group, Stream
 from stackpitch.rehearse.engine.legs import Legs
 from stackpitch.rehearse.engine.machine import Machine
 from stackpitch.rehearse.engine.waits import hung
@@ -24,7 +24,7 @@
                 continue
             try:
                 stream = yield from machine.listener.accept()
-            except Lost:
+            except ConnectionLost:
                 machine.listener = None
                 continue
             group.spawn(self.connection(stream), "connection")
@@ -41,7 +41,7 @@
                     reader.feed(data)
                 if not (yield from self.answer(stream, reader, ours)):
                     return
-        except (Lost, http.BadMessage):
+        except (ConnectionLost, http.BadMessage):
             pass
         finally:
             stream.close()
--- a/stackpitch/rehearse/engine/legs.py
+++ b/stackpitch/rehearse/engine/legs.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from stackpitch.loop import Coro, Lost, Stream
+from stackpitch.loop import ConnectionLost, Coro, Stream
 from stackpitch.rehearse.engine.answers import event, usage
 from stackpitch.rehearse.engine.machine import Machine
 from stackpitch.rehearse.engine.spoken import spoken
@@ -75,7 +75,7 @@
             if part == "read":
                 return (yield from self.read_leg(stream, work, ours))
             return (yield from self.write_leg(stream, work))
-        except Lost:
+        except ConnectionLost:
             return False
         finally:
             work.over = True
--- a/stackpitch/rehearse/engine/machine.py
+++ b/stackpitch/rehearse/engine/machine.py
@@ -22,7 +22,7 @@
 
     def __init__(self, world: World, settings: EngineSettings, recorder: Recorder) -> None:
         self.world, self.set, self.recorder = world, settings, recorder
-        self.random = world.chance(f"engine {settings.name}")
+        self.random = world.rng(f"engine {settings.name}")
         self.born = world.now()
         self.waiting: deque[Work] = deque()
         self.running: list[Work] = []
--- a/stackpitch/rehearse/engine/transfer.py
+++ b/stackpitch/rehearse/engine/transfer.py
@@ -1,6 +1,6 @@
 """Read states on their way from a reader to a writer, over links of limited speed."""
 
-from stackpitch.loop import MS, SECOND, ConnectFailed, Coro, Lost, Stream
+from stackpitch.loop import MS, SECOND, ConnectFailed, ConnectionLost, Coro, Stream
 from stackpitch.rehearse.engine.machine import Machine
 from stackpitch.rehearse.engine.waits import hung
 from stackpitch.rehearse.engine.work import Work
@@ -44,7 +44,7 @@
                     return reader.status == 200
                 finally:
                     stream.close()
-        except (Lost, ConnectFailed, http.BadMessage):
+        except (ConnectionLost, ConnectFailed, http.BadMessage):
             pass
         return False
 
@@ -53,7 +53,7 @@
         found = machine.states.get(state)
         if "hang" in machine.ill or machine.fallen:
             yield from hung(stream)
-            raise Lost("given up")
+            raise ConnectionLost("given up")
         if found is None:
             stream.write(http.response(404, b"{}"))
             return
--- a/stackpitch/rehearse/engine/waits.py
+++ b/stackpitch/rehearse/engine/waits.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from stackpitch.loop import Coro, Lost, Stream, World
+from stackpitch.loop import ConnectionLost, Coro, Stream, World
 
 
 def hung(stream: Stream) -> Coro[str]:
@@ -13,12 +13,12 @@
 
 
 def until(world: World, stream: Stream, ready: Callable[[], bool]) -> Coro[None]:
-    """Waits for steps; Lost once the other side has left."""
-    stream.attend(world.current)
+    """Waits for steps; ConnectionLost once the other side has left."""
+    stream.wake_on_input(world.current)
     try:
         while not ready():
             if stream.eof:
-                raise Lost("given up")
+                raise ConnectionLost("given up")
             yield
     finally:
-        stream.attend(None)
+        stream.wake_on_input(None)
--- a/stackpitch/rehearse/memorydisk.py
+++ b/stackpitch/rehearse/memorydisk.py
@@ -124,7 +124,7 @@
             raise FileNotFoundError(errno.ENOENT, os.strerror(errno.ENOENT))
         del folder[name]
 
-    def folder(self, path: str) -> None:
+    def make_folder(self, path: str) -> None:
         self._call(True)
         parts = path.split("/")
         for count in range(1, len(parts) + 1):
@@ -135,7 +135,7 @@
                 self.folders[here] = {}
                 self.kept.setdefault(above_of(here), {})[name] = None
 
-    def names(self, path: str) -> list[str]:
+    def list_folder(self, path: str) -> list[str]:
         self._call()
         return sorted(self.folders.get(path, ()))
 
--- a/stackpitch/rehearse/network/control.py
+++ b/stackpitch/rehearse/network/control.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from stackpitch.loop import Coro, Group, Listener, Lost, Stream, World
+from stackpitch.loop import ConnectionLost, Coro, Group, Listener, Stream, World
 from stackpitch.rehearse.network.settings import Fault
 from stackpitch.wire import http
 
@@ -43,7 +43,7 @@
             else:
                 stream.write(http.response(200, b"{}", [("connection", "close")]))
             yield from stream.drain()
-        except (Lost, http.BadMessage):
+        except (ConnectionLost, http.BadMessage):
             pass
         finally:
             stream.close()
--- a/stackpitch/rehearse/network/passing.py
+++ b/stackpitch/rehearse/network/passing.py
@@ -6,7 +6,7 @@
 
 from itertools import count
 
-from stackpitch.loop import MS, ConnectFailed, Coro, Group, Listener, Lost, Stream, Task, World
+from stackpitch.loop import MS, ConnectFailed, ConnectionLost, Coro, Group, Listener, Stream, Task, World
 from stackpitch.rehearse.network import sight
 from stackpitch.rehearse.network.pieces import Pieces
 from stackpitch.rehearse.network.settings import Link, NetworkSettings
@@ -99,7 +99,7 @@
             if answer is not None and (yield from self.back(link, number, stream, answer)):
                 return
             yield from self.silence(stream)
-        except (Lost, http.BadMessage):
+        except (ConnectionLost, http.BadMessage):
             pass
         finally:
             self.under_way -= 1
@@ -152,7 +152,7 @@
                     while not reader.complete:
                         data = yield from stream.recv()
                         if not data:
-                            raise Lost("closed before its answer")
+                            raise ConnectionLost("closed before its answer")
                         reader.feed(data)
                         raw += data
                         body += b"".join(reader.pieces)
@@ -162,7 +162,7 @@
                     return raw
                 finally:
                     stream.close()
-        except (Lost, ConnectFailed, http.BadMessage) as wrong:
+        except (ConnectionLost, ConnectFailed, http.BadMessage) as wrong:
             self.recorder.note("unanswered", call=number, copy=copy, why=str(wrong))
             if isinstance(wrong, ConnectFailed) and self.world.now() - begun >= int(self.set.connect_ms * MS):
                 return None  # nobody said no
@@ -180,7 +180,7 @@
         try:
             stream.write(answer[: len(answer) // 2] if fate.half else answer)
             yield from stream.drain()
-        except Lost:
+        except ConnectionLost:
             self.recorder.note("lost", call=number, copy=0, way="answer", suffered=[*fate.suffered, "late"])
             return True
         self.recorder.note("half" if fate.half else "delivered", call=number, suffered=list(fate.suffered))
--- a/stackpitch/rehearse/network/pieces.py
+++ b/stackpitch/rehearse/network/pieces.py
@@ -34,7 +34,7 @@
         self.arrives, self.numbers = arrives, numbers
 
     def serve(self, link: Link, stream: Stream, first: http.RequestReader) -> Coro[None]:
-        """Raises Lost, http.BadMessage."""
+        """Raises ConnectionLost, http.BadMessage."""
         reader: http.RequestReader | None = first
         while reader is not None and (yield from self.one(link, stream, reader)):
             reader = yield from self.next(stream)
--- a/stackpitch/rehearse/origin/run.py
+++ b/stackpitch/rehearse/origin/run.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from stackpitch.loop import Coro, Group, Listener, Lost, Stream, World
+from stackpitch.loop import ConnectionLost, Coro, Group, Listener, Stream, World
 from stackpitch.rehearse.origin.serving import Origin
 from stackpitch.rehearse.origin.settings import OriginSettings, OriginTrouble
 from stackpitch.rehearse.records import Recorder
@@ -50,7 +50,7 @@
                 status, answer = 422, str(wrong).encode()
             stream.write(http.response(status, answer, [("connection", "close")]))
             yield from stream.drain()
-        except (Lost, http.BadMessage):
+        except (ConnectionLost, http.BadMessage):
             pass
         finally:
             stream.close()
--- a/stackpitch/rehearse/origin/serving.py
+++ b/stackpitch/rehearse/origin/serving.py
@@ -6,7 +6,7 @@
 from typing import Any
 from zlib import crc32
 
-from stackpitch.loop import MS, SECOND, Coro, Group, Listener, Lost, Stream, Time, World
+from stackpitch.loop import MS, SECOND, ConnectionLost, Coro, Group, Listener, Stream, Time, World
 from stackpitch.wire import http
 
 RANGE = re.compile(r"bytes=(\d+)-(\d+)")
@@ -46,7 +46,7 @@
         while True:
             try:
                 stream = yield from listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
             group.spawn(self._connection(stream), "origin")
 
@@ -61,7 +61,7 @@
                         return
                     request.feed(data)
                 kept = (yield from self._answer(stream, request)) and request.keep_alive and not request.extra
-        except (Lost, http.BadMessage):
+        except (ConnectionLost, http.BadMessage):
             pass
         finally:
             stream.close()
--- a/stackpitch/rehearse/records.py
+++ b/stackpitch/rehearse/records.py
@@ -18,7 +18,7 @@
         self.descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
 
     def note(self, what: str, **facts: Any) -> None:
-        if self.world.over:
+        if self.world.closing:
             return
         line = json.dumps({"at": self.world.now(), "who": self.who, "what": what, **facts}) + "\n"
         os.write(self.descriptor, line.encode())
--- a/stackpitch/rehearse/virtual.py
+++ b/stackpitch/rehearse/virtual.py
@@ -42,7 +42,7 @@
             BREAKS[command[4]]()
         return run[command[3]](made[0], Path(command[-1]))
 
-    made.append(VirtualWorld(seed, programs=programs, volume=MemoryDisk()))
+    made.append(VirtualWorld(seed, programs=programs, file_system=MemoryDisk()))
     return made[0]
 
 
@@ -55,7 +55,7 @@
     try:
         return director.play(one, day, keep, broken, say)
     finally:
-        one.bury()
+        one.close()
 
 
 def gateway(one: VirtualWorld, path: Path) -> Coro[None]:
--- a/tests/platform_discovery.py
+++ b/tests/platform_discovery.py
@@ -3,7 +3,7 @@
 import json
 from typing import Any
 
-from stackpitch.loop import MS, SECOND, Coro, Lost, Stream
+from stackpitch.loop import MS, SECOND, ConnectionLost, Coro, Stream
 from stackpitch.wire import http
 
 
@@ -21,7 +21,7 @@
         while True:
             try:
                 stream = yield from listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
             self.watching[stream] = listener.address[1]
             self.group.spawn(self.told(stream, listener.address[1]), "watch")
@@ -54,7 +54,7 @@
                 if spoil == "part":
                     found, whole = found[:1], False
                 yield from self.spoilt(stream, spoil, json.dumps(self.listing(found, whole)).encode())
-        except Lost:
+        except ConnectionLost:
             pass
         finally:
             self.watching.pop(stream, None)
@@ -98,7 +98,7 @@
             self.listen()
             self.file.write_text(json.dumps(self.configured()))
         elif how in ("cut-off", "back"):
-            self.listeners[self.port].choke(how == "cut-off")
+            self.listeners[self.port].block_connections(how == "cut-off")
         elif how == "down":
             self.listeners.pop(self.port).close()
             for stream in [one for one, port in self.watching.items() if port == self.port]:
--- a/tests/platform_script.py
+++ b/tests/platform_script.py
@@ -3,7 +3,7 @@
 import json
 from typing import TYPE_CHECKING, Any
 
-from stackpitch.loop import MS, Coro, Lost, Stream
+from stackpitch.loop import MS, ConnectionLost, Coro, Stream
 from stackpitch.wire import http, sse
 
 if TYPE_CHECKING:
@@ -122,7 +122,7 @@
         while True:
             try:
                 stream = yield from self.listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
             self.stage.opened += 1
             self.stage.group.spawn(self.connection(stream), self.name)
@@ -168,7 +168,7 @@
                 yield from self.act(stream, act, int(number or 0))
                 if act in ("reset", "cut"):
                     return
-        except Lost:
+        except ConnectionLost:
             pass
         finally:
             self.stage.opened -= 1
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -72,7 +72,7 @@
 from platform_expect import Expectations
 from platform_script import BODY, DISCOVERY, DOOR, SETTINGS, Client, ScriptedServer
 
-from stackpitch.loop import MS, SECOND, ConnectFailed, Coro, Group, Lost, Stream
+from stackpitch.loop import MS, SECOND, ConnectFailed, ConnectionLost, Coro, Group, Stream
 from stackpitch.loop.virtual import EPOCH_MS, VirtualWorld
 from stackpitch.platform.serve import serve
 from stackpitch.wire import http, sse
@@ -155,7 +155,7 @@
             assert not scope.expired, "the scenario hung"
 
         self.world.run(main())
-        self.world.bury()
+        self.world.close()
 
     def line(self, text: str) -> Coro[None]:
         plain = text.startswith(("raw ", "bytes ", "file "))
@@ -264,7 +264,7 @@
         if acts[0] == "dead":
             one.listener.close()
         elif acts[0] in ("cut-off", "back"):
-            one.listener.choke(acts[0] == "cut-off")
+            one.listener.block_connections(acts[0] == "cut-off")
         elif acts[0] == "up-after":
             one.listener.late = int(acts[1]) * MS
         elif acts[0] == "takes":
@@ -405,7 +405,7 @@
                     yield from self.world.sleep(after)
                 data = yield from client.stream.recv(most)
                 if not data:
-                    raise Lost("closed")
+                    raise ConnectionLost("closed")
                 reader.feed(data)
                 client.text += b"".join(reader.pieces).decode("latin-1")
                 if reader.status == 200:
@@ -421,7 +421,7 @@
                 client.after = yield from client.stream.recv()
             if reader.extra:  # it came with the end of the answer
                 client.after = data[max(0, data.rfind(b"HTTP/1.1 ")) :]
-        except (Lost, http.BadMessage) as wrong:
+        except (ConnectionLost, http.BadMessage) as wrong:
             client.why = str(wrong)
             client.end = client.end or ("broken" if reader.status else "closed")
             client.ended = client.ended or self.world.now()
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -42,7 +42,7 @@
 from stackpitch.gateway.keeper import Keeper
 from stackpitch.gateway.metrics import Metrics
 from stackpitch.gateway.serve import _routes, host, reading, ticks
-from stackpitch.loop import MS, SECOND, ConnectFailed, Coro, Group, Lost, RealWorld, Stream
+from stackpitch.loop import MS, SECOND, ConnectFailed, ConnectionLost, Coro, Group, RealWorld, Stream
 from stackpitch.settings import Settings
 from stackpitch.settings.load import check
 from stackpitch.wire import engine, http, sse
@@ -82,7 +82,7 @@
         while True:
             try:
                 stream = yield from self.listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
             group.spawn(self.connection(stream), self.name)
 
@@ -98,7 +98,7 @@
                     reader.feed(data)
                 if not (yield from self.answer(stream, reader, ours)):
                     return
-        except (Lost, http.BadMessage):
+        except (ConnectionLost, http.BadMessage):
             pass
         finally:
             self.states -= ours
@@ -473,7 +473,7 @@
                     yield from self.world.sleep(5 * MS)
                 data = yield from client.stream.recv(4096)
                 if not data:
-                    raise Lost("closed")
+                    raise ConnectionLost("closed")
                 reader.feed(data)
                 piece = b"".join(reader.pieces)
                 body += piece if reader.headers.get("content-type") != "text/event-stream" else b""
@@ -501,7 +501,7 @@
                 client.after = (
                     (yield from client.stream.recv()) if reader.status == 200 and not client.gone else b""
                 )
-        except (Lost, http.BadMessage) as wrong:
+        except (ConnectionLost, http.BadMessage) as wrong:
             client.end = client.end or f"broken {wrong}"
 
     def until(self, ms: int, what: Any, text: str) -> Coro[None]:
--- a/tests/test_announced.py
+++ b/tests/test_announced.py
@@ -97,7 +97,7 @@
         assert after - before <= 2 * SIZE + 8, "two rounds, and tries of the one that is gone"
 
     world.run(main())
-    world.bury()
+    world.close()
 
 
 def test_revenue_that_waits_is_that_of_all_gateways_of_the_site(tmp_path):
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -16,7 +16,7 @@
 
 from stackpitch.gateway.outcomes import Phase
 from stackpitch.gateway.pool import Budget, Pool
-from stackpitch.loop import MS, SECOND, ConnectFailed, Coro, Group, Lost, RealWorld, Stream, World
+from stackpitch.loop import MS, SECOND, ConnectFailed, ConnectionLost, Coro, Group, RealWorld, Stream, World
 from stackpitch.loop.real import RealStream
 from stackpitch.loop.virtual import VirtualWorld
 from stackpitch.wire import http
@@ -218,7 +218,7 @@
                 if got[0] is not None and got[0].status == 200:
                     got.append((yield from answer(client)))
                     assert got[1] is None, "a second answer"
-            except Lost as wrong:
+            except ConnectionLost as wrong:
                 assert "after close" in point.names and not point.came_by("after close"), (
                     f"no clean end: {wrong}"
                 )
@@ -264,7 +264,7 @@
         try:
             with world.limit(SECOND):
                 yield from near.drain()
-        except Lost:
+        except ConnectionLost:
             return True
         return False
 
--- a/tests/test_counted_calls.py
+++ b/tests/test_counted_calls.py
@@ -5,7 +5,7 @@
 import pytest
 
 from stackpitch.gateway.connections import Connections
-from stackpitch.loop import MS, ConnectFailed, Coro, Group, LocalFault, Lost
+from stackpitch.loop import MS, ConnectFailed, ConnectionLost, Coro, Group, LocalFault
 from stackpitch.loop.virtual import VirtualWorld
 
 
@@ -22,7 +22,7 @@
 @pytest.mark.parametrize(
     ("wrong", "said"),
     [
-        (Lost("reset"), ("warning", "call_failed")),
+        (ConnectionLost("reset"), ("warning", "call_failed")),
         (ConnectFailed("refused"), ("warning", "call_failed")),
         (LocalFault("no ports"), ("warning", "call_failed")),
         (KeyError("odd"), ("exception", "call_raised")),
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -5,7 +5,7 @@
 
 from stackpitch.gateway.permission import Refusals
 from stackpitch.interface import Product
-from stackpitch.loop import MS, SECOND, ConnectFailed, Coro, Group, Lost, Stream, World
+from stackpitch.loop import MS, SECOND, ConnectFailed, ConnectionLost, Coro, Group, Stream, World
 from stackpitch.loop.real import RealWorld
 from stackpitch.loop.virtual import VirtualWorld
 from stackpitch.platform.door import PlatformDoor
@@ -62,7 +62,7 @@
 
 
 def answer(stream: Stream) -> Coro[http.ResponseReader | None]:
-    """None: an end without an answer. Raises Lost on a reset."""
+    """None: an end without an answer. Raises ConnectionLost on a reset."""
     reader = http.ResponseReader(1 << 14, 1 << 20)
     while not reader.complete:
         data = yield from stream.recv()
@@ -110,7 +110,7 @@
             try:
                 second = yield from answer(stream)
                 end = yield from stream.recv()
-            except Lost as wrong:
+            except ConnectionLost as wrong:
                 second, end = None, str(wrong).encode()
             seen.append((when, first is not None, second and second.headers.get("connection"), end))
             stream.close()
@@ -161,7 +161,7 @@
                 yield from world.sleep(MS)
                 if made.connections == 0:
                     return True
-        except Lost:
+        except ConnectionLost:
             pass
         yield from world.sleep(2 * SECOND)
         return made.connections == 0
@@ -181,7 +181,7 @@
                 yield from stream.drain()
                 sent += 65536
                 yield from world.pause()
-        except Lost:
+        except ConnectionLost:
             pass
         stream.close()
         return sent
@@ -218,7 +218,7 @@
                         if stream.buffered < 100_000:
                             stream.write(BAD[kind])
                         yield from world.sleep(MS if BAD[kind] else 10 * MS)
-                except (Lost, ConnectFailed):
+                except (ConnectionLost, ConnectFailed):
                     yield from world.sleep(MS)
                 else:
                     stream.close()
@@ -235,7 +235,7 @@
                     stream.write(request(f"{number:016x}"))
                     got = yield from answer(stream)
                     stream.close()
-                except (Lost, ConnectFailed):
+                except (ConnectionLost, ConnectFailed):
                     continue
                 if got is not None and got.status == 200:
                     break
--- a/tests/test_kept_faults.py
+++ b/tests/test_durable_faults.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from stackpitch.kept.log import Log
+from stackpitch.durable.log import Log
 from stackpitch.loop import RealFiles
-from stackpitch.membership.store import Noted, Store
+from stackpitch.membership.store import Store, UnappliedList
 
 CALLS = ["open", "size", "read", "write", "sync", "truncate", "rename", "sync_folder"]
 
@@ -58,8 +58,8 @@
         super().sync_folder(path)
 
 
-def note(version: int) -> Noted:
-    return Noted(0, "file", version, "", "rejected", ())
+def note(version: int) -> UnappliedList:
+    return UnappliedList(0, "file", version, "", "rejected", ())
 
 
 def versions(path: Path) -> list[int]:
@@ -67,7 +67,7 @@
     store = Store(RealFiles(), str(path))
     store.open()
     store.close()
-    return [one.version for one in store.noted]
+    return [one.version for one in store.unapplied]
 
 
 def play(path: Path, call: str, times: int, torn: bool, short: bool) -> list[int]:
--- a/tests/test_duties_pure.py
+++ b/tests/test_duties_pure.py
@@ -344,7 +344,7 @@
     ballots.open()
     assert ballots.begin({}) and ballots.save("weights", Promise(Stamp(1, 1)))
     files.failing = True
-    assert not ballots.save("weights", Promise(Stamp(2, 1))) and "No space left" in ballots.log.trouble
+    assert not ballots.save("weights", Promise(Stamp(2, 1))) and "No space left" in ballots.log.error
     files.failing = False
     assert ballots.save("vocabulary", Promise(Stamp(1, 1)))
     ballots.close()
--- a/tests/test_level_watch.py
+++ b/tests/test_level_watch.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from stackpitch.loop import MS, Coro, Lost, RealWorld
+from stackpitch.loop import MS, ConnectionLost, Coro, RealWorld
 from stackpitch.loop.real import RealStream
 
 STILL = 100 * MS
@@ -46,14 +46,14 @@
         stream, far = pair(world)
         assert stream.recv_now() is None
         if attended:
-            stream.attend(world.current)
+            stream.wake_on_input(world.current)
         EVENTS[what](far)
         for _ in range(4):  # what ends a wait early is no turn too many
             yield from world.sleep(STILL // 4)
-        before = world.turn
+        before = world.poll_count
         yield from world.sleep(STILL)
-        assert world.turn - before <= FEW_TURNS
-        stream.attend(None)
+        assert world.poll_count - before <= FEW_TURNS
+        stream.wake_on_input(None)
         got = b""
         try:
             while data := (yield from stream.recv(300)):
@@ -62,7 +62,7 @@
                     far.sendall(b"y")
                     got += yield from stream.recv()
                     break
-        except Lost:
+        except ConnectionLost:
             assert "reset" in what
         if "reset" not in what:
             assert got == b"x" * 1000 * ("bytes" in what) + b"y" * (what == "bytes")
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from stackpitch.loop import MS, SECOND, ConnectFailed, Coro, Group, Lost, RealWorld
+from stackpitch.loop import MS, SECOND, ConnectFailed, ConnectionLost, Coro, Group, RealWorld
 
 
 def run(main: Callable[[RealWorld], Coro[Any]]) -> Any:
@@ -41,7 +41,7 @@
                 pass  # both come due, so one turn brings both
             yield
             assert scope.expired
-            scope.relax()
+            scope.remove_limit()
             yield from world.sleep(2 * MS)
             return True
         return False
@@ -185,7 +185,7 @@
         seen = [far.recv_now()]
         near.write(b"last words")
         near.close()
-        return [*seen, far.recv_now(), far.recv_now(look=True), far.recv_now(look=True)]
+        return [*seen, far.recv_now(), far.recv_now(force=True), far.recv_now(force=True)]
 
     assert run(main) == [None, None, b"last words", b""]
 
@@ -199,7 +199,7 @@
             world.at(world.now() + 5 * MS, near.abort if end == "abort" else far.close)
             try:
                 yield from far.recv()
-            except Lost as wrong:
+            except ConnectionLost as wrong:
                 seen.append(str(wrong))
         return seen
 
@@ -211,7 +211,7 @@
         listener, seen = world.listen(("127.0.0.1", 0)), []
         open_before = yield from world.connect(listener.address, SECOND)
         served = yield from listener.accept()
-        listener.choke(True)
+        listener.block_connections(True)
         begun = world.now()
         try:
             yield from world.connect(listener.address, 50 * MS)
@@ -220,7 +220,7 @@
         assert 45 * MS < world.now() - begun < SECOND
         open_before.write(b"well")  # open connections are well meanwhile
         seen.append((yield from served.recv()).decode())
-        listener.choke(False)
+        listener.block_connections(False)
         (yield from world.connect(listener.address, 3 * SECOND)).close()
         listener.close()
         try:
@@ -250,7 +250,7 @@
     hogs = []
 
     def main(world: RealWorld) -> Coro[None]:
-        world.on_hog = lambda name, spent: hogs.append((name, spent))
+        world.on_slow_step = lambda name, spent: hogs.append((name, spent))
         yield from world.sleep(0)
         until = world.now() + 60 * MS
         while world.now() < until:
@@ -262,7 +262,7 @@
 
 
 def test_chance_is_by_seed_and_name() -> None:
-    first, again, other = RealWorld(3).chance("a"), RealWorld(3).chance("a"), RealWorld(3).chance("b")
+    first, again, other = RealWorld(3).rng("a"), RealWorld(3).rng("a"), RealWorld(3).rng("b")
     drawn = first.random()
     assert again.random() == drawn != other.random()
 
--- a/tests/test_loop_turns.py
+++ b/tests/test_loop_turns.py
@@ -5,21 +5,21 @@
 import pytest
 from test_loop import run
 
-from stackpitch.loop import MS, SECOND, Coro, Group, RealWorld, Turns
+from stackpitch.loop import MS, SECOND, Coro, Group, RealWorld, Semaphore
 
 
 @pytest.mark.parametrize("most", [1, 2])
 def test_turns_are_given_in_order_of_coming_and_none_is_lost_to_one_that_gave_up(most: int) -> None:
     def main(world: RealWorld) -> Coro[tuple[list[int], int]]:
-        turns, began, open_ones = Turns(world, most), list[int](), list[int]()
+        turns, began, open_ones = Semaphore(world, most), list[int](), list[int]()
 
         def one(number: int) -> Coro[None]:
             with world.limit(8 * MS if number == 3 else SECOND):
-                yield from turns.take()
+                yield from turns.acquire()
                 began.append(number)
-                open_ones.append(turns.open)
+                open_ones.append(turns.in_use)
                 yield from world.sleep(20 * MS)
-                turns.give()
+                turns.release()
 
         def body(group: Group) -> Coro[None]:
             for number in range(6):
@@ -27,7 +27,7 @@
                 yield from world.sleep(MS)
 
         yield from world.group(body)
-        assert not turns.open and not turns.waiters
+        assert not turns.in_use and not turns.waiters
         return began, max(open_ones)
 
     assert run(main) == ([0, 1, 2, 4, 5], most)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -13,9 +13,9 @@
 from play import scenarios
 
 from stackpitch.loop import MS, SECOND, RealFiles, RealWorld
-from stackpitch.membership.entries import Entry, Proposal, change, digest
-from stackpitch.membership.registrar import Figures, Registrar
-from stackpitch.membership.store import FORMAT, Kept, Noted, Store, framed, header
+from stackpitch.membership.entries import Entry, Proposal, diff, digest
+from stackpitch.membership.registrar import Registrar, RegistrarConfig
+from stackpitch.membership.store import FORMAT, AppliedList, Store, UnappliedList, frame, header
 
 ROOT = Path(__file__).parent.parent
 ROLES = {"r": "reader", "w": "writer", "m": "mixed"}
@@ -74,7 +74,7 @@
         if self.made is None:
             one = self.figures
             self.made = Registrar(
-                Figures(
+                RegistrarConfig(
                     float(one["step"]),
                     int(one["step_ms"]) * MS,
                     int(one["persist"]) * MS,
@@ -117,7 +117,7 @@
             due = self.registrar.due()
             assert ("never" if due is None else str(due // MS)) == words[2], due
         else:
-            said = f"{self.verdict.word} {'; '.join(self.verdict.reasons)}"
+            said = f"{self.verdict.outcome} {'; '.join(self.verdict.reasons)}"
             assert text[2:] in said or (
                 said.startswith(words[1]) and all(word in said for word in words[1:])
             ), said
@@ -137,7 +137,7 @@
     """Whatever comes: a server that the last accepted list drains is not ready; none is in force that no list named."""
     for seed in range(300):
         chance, named = random.Random(seed), set()
-        registrar = Registrar(Figures(0.34, SECOND, 5 * SECOND, 4, 10 * SECOND, 3 * SECOND), ROLES)
+        registrar = Registrar(RegistrarConfig(0.34, SECOND, 5 * SECOND, 4, 10 * SECOND, 3 * SECOND), ROLES)
         now = version = 0
         for _ in range(40):
             now += chance.randrange(1, 20_000)
@@ -152,11 +152,11 @@
                 version += chance.choice((0, 1, 1, 1, -1))
                 before = dict(registrar.in_force)
                 verdict = registrar.propose(now, Proposal("file", version, digest(entries), entries))
-                if verdict.word in ("accepted", "in steps"):
+                if verdict.outcome in ("accepted", "in steps"):
                     named |= {one.name for one in entries}
                     drained = {one.name for one in entries if one.state == "draining"}
                     assert not any(registrar.in_force[name].state == "ready" for name in drained)
-                elif verdict.word in ("rejected", "repeated"):
+                elif verdict.outcome in ("rejected", "repeated"):
                     assert registrar.in_force == before
             else:
                 registrar.tick(now)
@@ -174,7 +174,7 @@
 
 
 def test_what_changed_between_lists():
-    found = change({"a": entry("w1"), "b": entry("w2")}, {"b": entry("w2*0.5"), "c": entry("w3")})
+    found = diff({"a": entry("w1"), "b": entry("w2")}, {"b": entry("w2*0.5"), "c": entry("w3")})
     assert (found.added, found.removed, found.changed) == (("c",), ("a",), (("b", "weight 1.0 -> 0.5"),))
     assert (
         digest([entry("w1"), entry("w2")])
@@ -187,7 +187,9 @@
 
 
 def kept(version, size=3):
-    return Kept(0, "file", version, str(version), tuple(entry(f"w{number}") for number in range(1, size + 1)))
+    return AppliedList(
+        0, "file", version, str(version), tuple(entry(f"w{number}") for number in range(1, size + 1))
+    )
 
 
 class Cut(BaseException):
@@ -279,7 +281,7 @@
             again = Store(RealFiles(), str(path))
             again.open()
             assert again.last() is not None and again.last().version in (old, new), (cut, part)
-            assert again.last() == kept(again.last().version) and not again.trouble
+            assert again.last() == kept(again.last().version) and not again.error
             assert again.add(kept(99)) and again.last().version == 99  # it goes on from there
             again.close()
             cuts += 1
@@ -291,14 +293,14 @@
 
 def test_a_damaged_byte_anywhere_loses_no_more_than_what_follows(tmp_path):
     path = tmp_path / "store"
-    raw = header() + framed(kept(1)) + framed(kept(2)) + framed(kept(3))
-    ends = [len(header()), len(header() + framed(kept(1))), len(header() + framed(kept(1)) + framed(kept(2)))]
+    raw = header() + frame(kept(1)) + frame(kept(2)) + frame(kept(3))
+    ends = [len(header()), len(header() + frame(kept(1))), len(header() + frame(kept(1)) + frame(kept(2)))]
     for at in range(len(raw)):
         path.write_bytes(raw[:at] + bytes([raw[at] ^ 0x55]) + raw[at + 1 :])
         store = Store(RealFiles(), str(path))
         store.open()
         left = sum(end <= at for end in ends) - 1
-        assert [one.version for one in store.kept] == list(range(1, left + 1)) and store.found, at
+        assert [one.version for one in store.applied] == list(range(1, left + 1)) and store.recovery_note, at
         store.close()
         (tmp_path / "store.unread").unlink(missing_ok=True)
 
@@ -320,7 +322,9 @@
     store = Store(RealFiles(), str(path))
     store.open()
     assert (
-        said in store.found and store.last() is None and (tmp_path / "store.unread").read_bytes() == content
+        said in store.recovery_note
+        and store.last() is None
+        and (tmp_path / "store.unread").read_bytes() == content
     )
     assert store.add(kept(1))
 
@@ -330,25 +334,25 @@
     path, files = tmp_path / "store", CutFiles(fail=code)
     store = Store(files, str(path))
     store.open()
-    assert store.add(kept(1)) and not store.trouble
+    assert store.add(kept(1)) and not store.error
     files.failing = True
-    assert not store.add(kept(2)) and os.strerror(code) in store.trouble
-    assert not store.add(Noted(0, "file", 3, "3", "rejected", ("why",)))
+    assert not store.add(kept(2)) and os.strerror(code) in store.error
+    assert not store.add(UnappliedList(0, "file", 3, "3", "rejected", ("why",)))
     again = Store(RealFiles(), str(path))
     again.open()
     assert again.last() == kept(1)
     again.close()
     files.failing = False
-    assert store.add(kept(4)) and not store.trouble
+    assert store.add(kept(4)) and not store.error
     again = Store(RealFiles(), str(path))
     again.open()
-    assert [one.version for one in again.kept] == [1, 2, 4] and len(again.noted) == 1
+    assert [one.version for one in again.applied] == [1, 2, 4] and len(again.unapplied) == 1
 
 
 def test_a_folder_that_is_not_there(tmp_path):
     store = Store(RealFiles(), str(tmp_path / "none" / "store"))
     store.open()
-    assert "No such file" in store.trouble and not store.add(kept(1)) and store.last() == kept(1)
+    assert "No such file" in store.error and not store.add(kept(1)) and store.last() == kept(1)
 
 
 WRITER = r"""
@@ -429,28 +433,28 @@
 
         begun = world.now()
         with world.limit(20 * MS) as scope:
-            yield from world.aside(slow)
+            yield from world.run_blocking(slow)
         assert scope.expired and world.now() - begun < 45 * MS, "waiting for it can be given up"
-        assert (yield from world.aside(slow)) == 7
+        assert (yield from world.run_blocking(slow)) == 7
         with pytest.raises(ValueError, match="no"):
-            yield from world.aside(lambda: int("no"))
+            yield from world.run_blocking(lambda: int("no"))
         begun = world.now()
         with world.limit(20 * MS):
-            yield from world.aside(slow)
-        assert (yield from world.aside(lambda: 8, "votes")) == 8 and world.now() - begun < 45 * MS, (
+            yield from world.run_blocking(slow)
+        assert (yield from world.run_blocking(lambda: 8, "votes")) == 8 and world.now() - begun < 45 * MS, (
             "another lane doesn't wait"
         )
         watch = world.watch()
-        watch.aim([str(tmp_path), str(tmp_path / "none")])
+        watch.set_folders([str(tmp_path), str(tmp_path / "none")])
         (tmp_path / "one").write_text("x")
         with world.limit(SECOND) as scope:
-            yield from watch.happened()
+            yield from watch.wait()
         assert not scope.expired
         with world.limit(30 * MS) as scope:
-            yield from watch.happened()
+            yield from watch.wait()
         assert scope.expired, "a hint counts once"
         os.rename(tmp_path / "one", tmp_path / "two")
-        yield from watch.happened()
+        yield from watch.wait()
         watch.close()
 
     world.run(main())
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -8,7 +8,7 @@
 from play import scenarios
 
 from stackpitch.duties.calls import ANSWER, ENCODER, FORM, Answer, Call, Stamp, raw
-from stackpitch.loop import MS, SECOND, ConnectFailed, Lost
+from stackpitch.loop import MS, SECOND, ConnectFailed, ConnectionLost
 from stackpitch.loop.virtual import VirtualWorld
 from stackpitch.rehearse.network import Link, NetworkSettings, run_network
 from stackpitch.rehearse.network.settings import Fault
@@ -51,7 +51,7 @@
             try:
                 while True:
                     group.spawn(self.one(number, (yield from listener.accept())), "one")
-            except Lost:
+            except ConnectionLost:
                 pass
 
         yield from self.world.group(body)
@@ -70,7 +70,7 @@
             answer = ENCODER.encode(Answer("yes", call.stamp, raw("+".join(self.taken[number]))))
             stream.write(http.response(200, answer, [("connection", "close")]))
             yield from stream.drain()
-        except Lost:
+        except ConnectionLost:
             pass
         finally:
             stream.close()
@@ -87,7 +87,7 @@
                     what = "broken" if found is None else json.loads(bytes(ANSWER.decode(found).body))
                 finally:
                     stream.close()
-            except (Lost, ConnectFailed) as wrong:
+            except (ConnectionLost, ConnectFailed) as wrong:
                 what = str(wrong)
         self.told.append(f"{name}: {what}")
 
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -10,7 +10,7 @@
 
 from stackpitch.gateway.outcomes import Phase
 from stackpitch.gateway.pool import Budget, NoneFree, Pool
-from stackpitch.loop import MS, SECOND, Coro, Group, Lost, Stream, Task
+from stackpitch.loop import MS, SECOND, ConnectionLost, Coro, Group, Stream, Task
 from stackpitch.loop.virtual import VirtualWorld
 from stackpitch.platform import serve
 from stackpitch.platform.config import LEAST
@@ -103,7 +103,7 @@
         def accept(self) -> Coro[Accepted]:
             yield from ()
             if not self.left:
-                raise Lost("empty")
+                raise ConnectionLost("empty")
             self.left -= 1
             came.append(Accepted())
             most.append(sum(not one.closed for one in came))
--- a/tests/test_settings_isolation.py
+++ b/tests/test_settings_isolation.py
@@ -258,7 +258,7 @@
             yield from self.world.group(body)
 
         self.world.run(main())
-        self.world.bury()
+        self.world.close()
         return self.asked
 
 
@@ -406,7 +406,7 @@
             yield from self.world.group(body)
 
         self.world.run(main())
-        self.world.bury()
+        self.world.close()
 
 
 @pytest.mark.parametrize("seed", range(16))
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -146,9 +146,9 @@
         FaultySocket.fail["accept"] = list(codes)
         group.spawn(listener.accept(), "accept")
         yield from faulty.connect(listener.address, SECOND)
-        turns = faulty.turn
+        turns = faulty.poll_count
         yield from faulty.sleep(100 * MS)
-        assert faulty.turn - turns < 100, "the loop spins"
+        assert faulty.poll_count - turns < 100, "the loop spins"
         assert len(FaultySocket.fail["accept"]) < len(codes), "nobody accepts"
         group.cancel()
 
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -5,7 +5,7 @@
 import pytest
 from played_days import made_up, plays, seeds
 
-from stackpitch.loop import MS, SECOND, ConnectFailed, Lost
+from stackpitch.loop import MS, SECOND, ConnectFailed, ConnectionLost
 from stackpitch.loop.virtual import WINDOW, VirtualWorld
 
 ADDRESS = ("127.0.0.1", 80)
@@ -18,7 +18,7 @@
         yield from world.group(lambda group: body(world, group))
 
     world.run(main())
-    world.bury()
+    world.close()
     return world
 
 
@@ -76,14 +76,14 @@
         near.write(b"never read")
         yield from world.sleep(10 * MS)
         far.close()  # with bytes unread: a reset
-        with pytest.raises(Lost, match="reset"):
+        with pytest.raises(ConnectionLost, match="reset"):
             yield from near.recv()
-        listener.choke(True)
+        listener.block_connections(True)
         begun = world.now()
         with pytest.raises(ConnectFailed, match="no connection in 300 ms"):
             yield from world.connect(ADDRESS, 300 * MS)
         assert world.now() - begun == 300 * MS
-        listener.choke(False)
+        listener.block_connections(False)
         yield from world.connect(ADDRESS, SECOND)
         yield from world.connect(ADDRESS, SECOND)
         with pytest.raises(ConnectFailed, match="no connection"):
@@ -121,7 +121,7 @@
         yield from world.sleep(MS)
         near = yield from world.connect(ADDRESS, SECOND)
         child.signal(9)
-        with pytest.raises(Lost):
+        with pytest.raises(ConnectionLost):
             yield from near.recv()
         assert (yield from child.wait()) == -9 == child.code()
         yield from world.sleep(20 * SECOND)
--- a/tests/test_weights_placing.py
+++ b/tests/test_weights_placing.py
@@ -103,7 +103,7 @@
     other.write(0, DATA)
     list(other.finish())
     list(one.again(0b1))
-    assert one.placed and one.have == MANIFEST.full and disk.names("root/m/partial") == []
+    assert one.placed and one.have == MANIFEST.full and disk.list_folder("root/m/partial") == []
 
 
 def test_what_the_disk_spoils_is_noticed():
@@ -176,7 +176,7 @@
     )
     folder.remove(folder.placed("m", "1"))
     folder.remove(folder.placed("m", "1"))
-    assert folder.versions("m") == [] and disk.names(str(tmp_path / "none")) == []
+    assert folder.versions("m") == [] and disk.list_folder(str(tmp_path / "none")) == []
     (tmp_path / "new" / "weights" / "lost+found").mkdir()
     (tmp_path / "new" / "weights" / "notes.txt").write_text("by hand")
     assert folder.models() == ["m", "notes.txt"] and folder.versions("notes.txt") == []
@@ -193,14 +193,14 @@
     world, done = RealWorld(), []
 
     def slow():
-        yield from world.aside(lambda: time.sleep(0.4), "weights")
+        yield from world.run_blocking(lambda: time.sleep(0.4), "weights")
         done.append("slow")
 
     def body(group):
         group.spawn(slow(), "slow")
         yield from world.pause()
         with world.limit(SECOND // 4) as scope:
-            assert (yield from world.aside(lambda: 7)) == 7
+            assert (yield from world.run_blocking(lambda: 7)) == 7
         assert not scope.expired and not done
 
     world.run(world.group(body))
--- a/tests/test_weights_sites.py
+++ b/tests/test_weights_sites.py
@@ -179,7 +179,7 @@
         )  # the site was at rest: it is asked each half minute
         yield from stage.until(lambda: stage.nodes[1].engines.told and copy.placed, 90 * SECOND)
         assert len(stage.origin.served) == before and stage.nodes[1].work.receiver.report().have[0].placed
-        assert stage.nodes[1].disk.names("weights/m/partial") == []
+        assert stage.nodes[1].disk.list_folder("weights/m/partial") == []
 
     stage.run(script)
 
@@ -321,7 +321,7 @@
         count = len(stage.origin.served)
         yield from stage.world.sleep(10 * SECOND)
         assert len(stage.origin.served) == count
-        assert stage.placed(0, "m") is None and not stage.nodes[0].disk.names("weights/m/partial")
+        assert stage.placed(0, "m") is None and not stage.nodes[0].disk.list_folder("weights/m/partial")
 
     played(tmp_path, tree(m=model(bytes_of(3, 20_000_000), ["s0"])), {"/m": bytes_of(3, 20_000_000)}, script)
 
@@ -560,7 +560,7 @@
                     )
                     stage.write()
             for number, name in ((number, name) for number in stage.nodes for name in contents):
-                for version in stage.nodes[number].disk.names(f"weights/{name}/placed"):
+                for version in stage.nodes[number].disk.list_folder(f"weights/{name}/placed"):
                     found = stage.placed(number, name, version)
                     assert found == stage.origin.files.get(f"/{name}{version}", found), (
                         "whole and right, or not there"
--- a/tests/weights_stage.py
+++ b/tests/weights_stage.py
@@ -10,7 +10,7 @@
 from stackpitch.duties.weights.serving import answer
 from stackpitch.duties.weights.settings import WeightsSettings
 from stackpitch.duties.weights.work import WeightsWork
-from stackpitch.loop import MS, SECOND, Lost, RealWorld
+from stackpitch.loop import MS, SECOND, ConnectionLost, RealWorld
 from stackpitch.loop.virtual import VirtualWorld
 from stackpitch.rehearse.memorydisk import MemoryDisk
 from stackpitch.rehearse.origin import Origin
@@ -106,7 +106,7 @@
             stage.world,
             Ground(stage, self.number),
             WeightsSettings(wanted=stage.path, folder=self.folder),
-            stage.world.fresh(),
+            stage.world.unique_id(),
             stage.address,
             self.engines,
             lambda vocabulary: vocabulary in stage.admitted,
@@ -137,7 +137,7 @@
                     request.feed(data)
                 self.stage.served.append((self.number, request.path, request.headers.get("range")))
                 kept = yield from answer(self.stage.world, self.work.receiver, request, stream)
-        except Lost:
+        except ConnectionLost:
             pass
         finally:
             stream.close()
@@ -240,7 +240,7 @@
 
         self.world.run(self.world.group(body))
         if not self.real:
-            self.world.bury()
+            self.world.close()
 
 
 def raw_of(data):
