--- a/stackpitch/gateway/intake.py
+++ b/stackpitch/gateway/intake.py
@@ -52,7 +52,7 @@
                 self.waiting.pop(stream, None)
         if stream in self.lingering:
             return b""  # half-closed in the same turn: nothing can be answered any more
-        if scope.expired and not scope.told and not rest.first:
+        if scope.expired and not scope.cancel_called and not rest.first:
             rest.first = stream.recv_now(force=True) or b""  # it may have come in the very moment
         return rest.first
 
--- a/stackpitch/loop/task.py
+++ b/stackpitch/loop/task.py
@@ -30,12 +30,12 @@
 class Scope:
     """A stretch of one task that can be cancelled: `with world.limit(delay) as scope`, then `scope.expired`."""
 
-    __slots__ = ("cancelled", "expired", "limit", "shield", "task", "timer", "told", "world")
+    __slots__ = ("cancel_called", "cancelled", "expired", "limit", "shield", "task", "timer", "world")
 
     def __init__(self, world: "World", limit: Time | None = None, shield: bool = False) -> None:
         self.world, self.limit, self.shield = world, limit, shield
         self.cancelled = self.expired = False
-        self.told = False  # by a call of `cancel`, whatever the time limit
+        self.cancel_called = False  # by a call of `cancel`, whatever the time limit
         self.task: Task | None = None
         self.timer: Timer | None = None
 
@@ -64,7 +64,7 @@
         self._disarm()
         if self.expired:
             assert self.task is not None
-            self.expired, self.cancelled = False, self.told
+            self.expired, self.cancelled = False, self.cancel_called
             self.task.alert = any(scope.cancelled for scope in self.task.scopes)
 
     def _disarm(self) -> None:
@@ -77,7 +77,7 @@
         self._strike()
 
     def cancel(self) -> None:
-        self.told = True
+        self.cancel_called = True
         self._strike()
 
     def _strike(self) -> None:
--- a/stackpitch/loop/virtual/listener.py
+++ b/stackpitch/loop/virtual/listener.py
@@ -20,8 +20,8 @@
         self.queue: deque[VirtualStream] = deque()
         self.waiter: Task | None = None
         self.blocked = self.closed = self.finishing = False
-        self.late = 0  # by so much connections come about later
-        self.window: int | None = (
+        self.connect_delay = 0  # by so much connections come about later
+        self.receive_window: int | None = (
             None  # bytes that its connections take before they are read; None: the usual
         )
         if process is not None:
--- a/stackpitch/loop/virtual/world.py
+++ b/stackpitch/loop/virtual/world.py
@@ -126,17 +126,21 @@
         if listener is None:
             yield from self.sleep(min(latency, limit))
             raise ConnectFailed("Connection refused")
-        if listener.blocked or len(listener.queue) >= listener.backlog or 2 * latency + listener.late > limit:
+        if (
+            listener.blocked
+            or len(listener.queue) >= listener.backlog
+            or 2 * latency + listener.connect_delay > limit
+        ):
             yield from self.sleep(max(0, begun + limit - self.time))
             raise ConnectFailed(f"no connection in {limit / 10:.0f} ms")
-        if listener.late:
-            yield from self.sleep(listener.late)
+        if listener.connect_delay:
+            yield from self.sleep(listener.connect_delay)
         self.next_port += 1
         here = VirtualStream(self, address, process, latency)
         there = VirtualStream(self, ("127.0.0.1", self.next_port), listener.process, latency)
         here.other, there.other = there, here
-        if listener.window is not None:
-            there.window = listener.window
+        if listener.receive_window is not None:
+            there.window = listener.receive_window
         listener.queue.append(there)
         if listener.waiter is not None:
             listener.waiter.wake()
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -266,9 +266,9 @@
         elif acts[0] in ("cut-off", "back"):
             one.listener.block_connections(acts[0] == "cut-off")
         elif acts[0] == "up-after":
-            one.listener.late = int(acts[1]) * MS
+            one.listener.connect_delay = int(acts[1]) * MS
         elif acts[0] == "takes":
-            one.listener.window, one.blind = int(acts[1]), int(acts[2]) * MS
+            one.listener.receive_window, one.blind = int(acts[1]), int(acts[2]) * MS
         else:
             one.acts = list(acts)
 
