--- a/stackpitch/loop/task.py
+++ b/stackpitch/loop/task.py
@@ -30,12 +30,12 @@
 class Scope:
     """A stretch of one task that can be cancelled: `with world.limit(delay) as scope`, then `scope.expired`."""
 
-    __slots__ = ("cancelled", "expired", "limit", "shield", "task", "timer", "told", "world")
+    __slots__ = ("cancel_called", "cancelled", "expired", "limit", "shield", "task", "timer", "world")
 
     def __init__(self, world: "World", limit: Time | None = None, shield: bool = False) -> None:
         self.world, self.limit, self.shield = world, limit, shield
         self.cancelled = self.expired = False
-        self.told = False  # by a call of `cancel`, whatever the time limit
+        self.cancel_called = False  # by a call of `cancel`, whatever the time limit
         self.task: Task | None = None
         self.timer: Timer | None = None
 
@@ -58,13 +58,13 @@
         self.task = None
         return isinstance(error, Cancelled) and error.scope is self
 
-    def relax(self) -> None:
+    def remove_limit(self) -> None:
         """Takes the time limit away, as when the first token has come. Also one that came up in the same turn, after
         that token and before the task went on: it must not strike what has begun."""
         self._disarm()
         if self.expired:
             assert self.task is not None
-            self.expired, self.cancelled = False, self.told
+            self.expired, self.cancelled = False, self.cancel_called
             self.task.alert = any(scope.cancelled for scope in self.task.scopes)
 
     def _disarm(self) -> None:
@@ -77,7 +77,7 @@
         self._strike()
 
     def cancel(self) -> None:
-        self.told = True
+        self.cancel_called = True
         self._strike()
 
     def _strike(self) -> None:
@@ -114,7 +114,7 @@
             self.scheduled = True
             self.world.ready.append((self, None, error))
 
-    def struck(self) -> Scope | None:
+    def cancelled_scope(self) -> Scope | None:
         """The outermost cancelled scope that no shield hides."""
         found = None
         for scope in reversed(self.scopes):
@@ -125,7 +125,7 @@
         return found
 
     def interrupt(self) -> None:
-        if self.world.current_or_none is not self and (scope := self.struck()) is not None:
+        if self.world.current_or_none is not self and (scope := self.cancelled_scope()) is not None:
             self.throw(Cancelled(scope))
 
     def cancel(self) -> None:
@@ -147,7 +147,7 @@
         except BaseException as wrong:
             self.error = wrong
         else:
-            if self.alert and (scope := self.struck()) is not None:
+            if self.alert and (scope := self.cancelled_scope()) is not None:
                 self.throw(Cancelled(scope))
             return
         self.ended = True
