--- a/benchmarks/floods.py
+++ b/benchmarks/floods.py
@@ -62,7 +62,7 @@
     def connection(self, stream: socket.socket) -> None:
         with stream, suppress(OSError):
             while True:
-                reader = codec.RequestReader(1 << 16, 1 << 20)
+                reader = codec.RequestParser(1 << 16, 1 << 20)
                 while not reader.complete:
                     data = stream.recv(65536)
                     if not data:
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -33,7 +33,7 @@
     def one(stream: Stream) -> Coro[None]:
         try:
             while True:
-                reader = http.RequestReader(1 << 16, 1 << 24)
+                reader = http.RequestParser(1 << 16, 1 << 24)
                 while not reader.complete:
                     data = yield from stream.recv()
                     if not data:
@@ -150,7 +150,7 @@
                 headers.append(("x-session-id", f"{number}.{ask // 3}"))
             begun = time.monotonic_ns()
             stream.write(http.request("POST", "/v1/chat/completions", "m", body, headers))
-            reader, events, first = http.ResponseReader(1 << 16, 1 << 30), sse.Events(), True
+            reader, events, first = http.ResponseParser(1 << 16, 1 << 30), sse.EventParser(), True
             while not reader.complete:
                 data = yield from stream.recv()
                 if not data:
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -225,7 +225,7 @@
 
     async def _answer(self, request: Request) -> None:
         assert self.reader is not None and request.sent is not None
-        reader = http.ResponseReader(1 << 14, 1 << 20)
+        reader = http.ResponseParser(1 << 14, 1 << 20)
         until = request.sent + request.limit + PATIENCE
         checker = Checker(request.name)
         request.content = checker.wrong
@@ -243,14 +243,14 @@
             if request.status == 200:
                 self._note_events(request, checker, b"".join(reader.pieces), now)
         else:
-            request.ended, request.whole, request.surplus = time.monotonic(), True, bytes(reader.extra)
-            if not reader.keep_alive or reader.extra:
+            request.ended, request.whole, request.surplus = time.monotonic(), True, bytes(reader.extra_bytes)
+            if not reader.keep_alive or reader.extra_bytes:
                 self._close()
         if request.status == 200:
             checker.end(request.whole)
 
     @staticmethod
-    def _note_head(request: Request, reader: http.ResponseReader, now: float) -> None:
+    def _note_head(request: Request, reader: http.ResponseParser, now: float) -> None:
         request.status, request.began = reader.status, now
         told = reader.headers.get("retry-after")
         if told is not None:
--- a/soak/discovery.py
+++ b/soak/discovery.py
@@ -84,7 +84,7 @@
                 link.close()
 
     async def _call(self, gateway: str, link: Link) -> bool:
-        reader = http.RequestReader(4096, 0)
+        reader = http.RequestParser(4096, 0)
         while not reader.complete:
             data = await link.read()
             if not data:
--- a/soak/mutants/effects.py
+++ b/soak/mutants/effects.py
@@ -59,8 +59,8 @@
         end = yield from run(self)
         if after(self, end):
             acted()
-            self.reader = http.ResponseReader(self.host.bounds.max_head, self.host.bounds.max_answer)
-            self.phase, self.events = [Phase.QUEUED], platform.Events()
+            self.reader = http.ResponseParser(self.host.bounds.max_head, self.host.bounds.max_answer)
+            self.phase, self.events = [Phase.QUEUED], platform.EventParser()
             end = yield from run(self)
         return end
 
--- a/soak/workers.py
+++ b/soak/workers.py
@@ -121,7 +121,7 @@
                 link.close()
 
     async def _request(self, link: Link) -> bool:
-        reader, attempt = http.RequestReader(1 << 16, 1 << 20), None
+        reader, attempt = http.RequestParser(1 << 16, 1 << 20), None
         link.idle = True
         try:
             while not reader.complete:
@@ -159,7 +159,7 @@
                 attempt.ended = attempt.ended or link.ended or time.monotonic()
 
     @staticmethod
-    def _unchanged(reader: http.RequestReader) -> bool:
+    def _unchanged(reader: http.RequestParser) -> bool:
         """Whether it is what its client sent."""
         headers = reader.headers
         wanted = target(headers.get("req-id", "")).encode()
--- a/stackpitch/benchlink/host.py
+++ b/stackpitch/benchlink/host.py
@@ -21,7 +21,7 @@
     State,
     Time,
 )
-from stackpitch.plausible import Doubts
+from stackpitch.plausible import PlausibilityFilter
 
 OUTCOMES: dict[str, Outcome] = {
     "pass": "streamed",
@@ -43,7 +43,7 @@
     """One gateway on the wire: the maps from ids to objects, and the lines that it writes."""
 
     def __init__(self, seed: int, config: dict[str, Any]) -> None:
-        tree = settings.Tree(config)
+        tree = settings.SettingsSection(config)
         self.lines: list[str] = []
         self.now: Time = 0
         self.generations: dict[str, Generation] = {}  # emptied when over and the last leg is back
@@ -53,8 +53,8 @@
         self.products: dict[str, Product] = settings.products(tree)
         self.customers: dict[str, Customer] = settings.customers(tree)
         self.kinds: dict[str, tuple[Role, int]] = settings.kinds(tree)
-        self.doubts = Doubts()
-        self.brain = Brain(self, seed, **settings.arguments(tree))
+        self.plausibility = PlausibilityFilter()
+        self.brain = Brain(self, seed, **settings.module_arguments(tree))
 
     # What the module asks for.
 
@@ -107,15 +107,15 @@
     # What the wire tells.
 
     def _report(self, server: str, usage: dict[str, float] | None) -> Report | None:
-        self.doubts.server = server
+        self.plausibility.server = server
         return (
-            self.doubts.report(*(usage.get(one) for one in ("x0", "utilization", "backlog")))
+            self.plausibility.report(*(usage.get(one) for one in ("x0", "utilization", "backlog")))
             if usage is not None
             else None
         )
 
     def _doubted(self) -> None:
-        if (told := self.doubts.due(self.now)) is not None:
+        if (told := self.plausibility.due_log_fields(self.now)) is not None:
             self.log("implausible " + " ".join(f"{name}={value}" for name, value in told.items()))
 
     def _forget(self, gen: Generation) -> None:
@@ -210,7 +210,7 @@
         no_state = leg.outcome == "full" and detail == 1
         report = self._report(server, usage)
         kept = (
-            self.doubts.kept(detail, leg.gen.prompt_tok)
+            self.plausibility.cached_tok(detail, leg.gen.prompt_tok)
             if detail and leg.outcome in ("read", "streamed")
             else 0
         )
@@ -321,7 +321,7 @@
             if word == "PROVISION":
                 try:
                     instances[who] = Instance(values[0], values[1])
-                except settings.Missing as lack:
+                except settings.InvalidSetting as lack:
                     raise WireError(f"line {number}: PROVISION field {lack} is malformed") from None
                 instances[who].now = now
                 touched[who] = instances[who]
--- a/stackpitch/cli/fleet.py
+++ b/stackpitch/cli/fleet.py
@@ -37,7 +37,7 @@
         stream = yield from world.connect(address, 2 * SECOND)
         try:
             stream.write(http.request(method, target, "admin", b"", [("connection", "close")]))
-            reader, pieces = http.ResponseReader(1 << 16, 1 << 28), list[bytes]()
+            reader, pieces = http.ResponseParser(1 << 16, 1 << 28), list[bytes]()
             with world.limit(15 * SECOND):
                 while not reader.complete:
                     data = yield from stream.recv()
--- a/stackpitch/duties/carrier/posts.py
+++ b/stackpitch/duties/carrier/posts.py
@@ -8,7 +8,7 @@
 
 from stackpitch.duties.calls import ANSWER, ENCODER, FORM, LARGEST, Answer, Call, Stamp, raw
 from stackpitch.duties.carrier.figures import Figures
-from stackpitch.exchange import asked
+from stackpitch.exchange import request_once
 from stackpitch.loop import Coro, Turns, World
 from stackpitch.wire import http
 
@@ -53,7 +53,9 @@
         try:
             if not look():
                 return None
-            reader = yield from asked(self.world, figures.addresses[number], figures.call, request, LARGEST)
+            reader = yield from request_once(
+                self.world, figures.addresses[number], figures.call, request, LARGEST
+            )
         finally:
             self.turns.give()
         answer = None
--- a/stackpitch/duties/vocabulary/catalogue/listing.py
+++ b/stackpitch/duties/vocabulary/catalogue/listing.py
@@ -7,19 +7,19 @@
 
 from stackpitch.duties.vocabulary.errors import ListingRejected, VocabularyUnknown
 from stackpitch.settings import BadSettings, read
-from stackpitch.settings.model import Name, Part
+from stackpitch.settings.model import Name, StrictModel
 
 Text = Annotated[str, Field(min_length=1, max_length=100_000)]
 
 
-class Named(Part):
+class Named(StrictModel):
     file: Annotated[str, Field(min_length=1)]  # tokenizer.json, beside the list or by its whole path
     end: list[
         Annotated[str, Field(min_length=1, max_length=200)]
     ] = []  # contents of end tokens; none: the usual names
 
 
-class Listing(Part):
+class Listing(StrictModel):
     vocabularies: Annotated[dict[Name, Named], Field(min_length=1, max_length=64)]
     samples: Annotated[
         list[Text], Field(max_length=1000)
--- a/stackpitch/duties/vocabulary/parameters.py
+++ b/stackpitch/duties/vocabulary/parameters.py
@@ -4,7 +4,7 @@
 
 from pydantic import Field, model_validator
 
-from stackpitch.settings.model import Part
+from stackpitch.settings.model import StrictModel
 
 IDS = ("logit_bias", "stop_token_ids", "allowed_token_ids", "bad_words_ids")  # those that hold token ids
 BAN = -100.0  # a bias from here down bans the token
@@ -14,14 +14,14 @@
 Tokens = Annotated[int, Field(ge=0, le=1_000_000)]
 
 
-class Bounds(Part):
+class Bounds(StrictModel):
     """On what a request may ask for as `max_tokens`."""
 
     least: Annotated[int, Field(ge=1, le=1_000_000)] = 1
     most: Annotated[int, Field(ge=1, le=1_000_000)] = 1_000_000
 
 
-class Parameters(Part):
+class Parameters(StrictModel):
     """None: not set."""
 
     logit_bias: (
--- a/stackpitch/duties/vocabulary/profiles.py
+++ b/stackpitch/duties/vocabulary/profiles.py
@@ -16,12 +16,12 @@
 from stackpitch.duties.vocabulary.parameters import Parameters
 from stackpitch.settings import BadSettings
 from stackpitch.settings.load import check, evaluate
-from stackpitch.settings.model import Name, Part
+from stackpitch.settings.model import Name, StrictModel
 
 MOST_BYTES, MOST_PROFILES = 32 << 20, 20_000
 
 
-class Profile(Part):
+class Profile(StrictModel):
     customer: Name | None = None
     product: Name | None = None
     vocabulary: Name | None = None  # None: the default of its customer, else of its product, else of the file
@@ -35,7 +35,7 @@
         return self
 
 
-class Profiles(Part):
+class Profiles(StrictModel):
     version: Annotated[int, Field(ge=0)] = 0
     vocabulary: Name | None = None
     customers: dict[Name, Name] = {}  # vocabulary by customer
--- a/stackpitch/duties/weights/manifest.py
+++ b/stackpitch/duties/weights/manifest.py
@@ -8,14 +8,14 @@
 from blake3 import blake3
 from pydantic import Field, model_validator
 
-from stackpitch.settings.model import Part
+from stackpitch.settings.model import StrictModel
 
 MOST_PIECES = 4096  # so that a manifest fits into one call between gateways
 MOST_PIECE = 256 * 1024 * 1024
 Digest = Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")]
 
 
-class Manifest(Part):
+class Manifest(StrictModel):
     size: Annotated[int, Field(ge=1, le=MOST_PIECES * MOST_PIECE)]
     piece: Annotated[int, Field(ge=1024, le=MOST_PIECE)]  # bytes of each but the last
     whole: Digest
--- a/stackpitch/duties/weights/receiving/fetch.py
+++ b/stackpitch/duties/weights/receiving/fetch.py
@@ -54,7 +54,7 @@
                 ("user-agent", f"stackpitch gateway/{self.gateway}"),
             ]
             stream.write(http.request("GET", path, self.address, b"", headers))
-            reader, parts = http.ResponseReader(MOST_HEAD, size), list[bytes]()
+            reader, parts = http.ResponseParser(MOST_HEAD, size), list[bytes]()
             while not reader.complete:
                 data = b""
                 with self.world.limit(GAP) as scope:
@@ -67,7 +67,7 @@
                 parts += reader.pieces
                 if reader.head_done:
                     self._allowed(reader, at, size, total)
-            whole = reader.keep_alive and not reader.extra
+            whole = reader.keep_alive and not reader.extra_bytes
             self.used = True
             found = b"".join(parts)
             if len(found) != size:
@@ -79,7 +79,7 @@
             if not whole:  # also when cancelled: what would still come belongs to nobody
                 self.close()
 
-    def _allowed(self, reader: http.ResponseReader, at: int, size: int, total: int) -> None:
+    def _allowed(self, reader: http.ResponseParser, at: int, size: int, total: int) -> None:
         length = reader.headers.get("content-range", "").rpartition("/")[2]
         if reader.status == 416 or (length.isdecimal() and int(length) != total):
             raise SourceChanged(
--- a/stackpitch/duties/weights/serving.py
+++ b/stackpitch/duties/weights/serving.py
@@ -16,7 +16,7 @@
 RANGE = re.compile(r"bytes=(\d{1,15})-(\d{1,15})")
 
 
-def answer(world: World, receiver: Receiver, request: http.RequestReader, stream: Stream) -> Coro[bool]:
+def answer(world: World, receiver: Receiver, request: http.RequestParser, stream: Stream) -> Coro[bool]:
     """Writes the whole answer; whether the connection can be kept. Raises Lost."""
 
     def refused(status: int, why: str) -> bool:
--- a/stackpitch/duties/weights/wanted.py
+++ b/stackpitch/duties/weights/wanted.py
@@ -12,7 +12,7 @@
 from stackpitch.duties.weights.errors import WantedRejected
 from stackpitch.duties.weights.manifest import Manifest
 from stackpitch.settings.load import BadSettings, check, evaluate
-from stackpitch.settings.model import HostPort, Part
+from stackpitch.settings.model import HostPort, StrictModel
 
 LARGEST = 64 * 1024 * 1024  # bytes of the file
 ORIGIN = "origin"  # the name of the origin among the sources; no site may have it
@@ -21,21 +21,21 @@
 Rate = Annotated[int, Field(ge=1024, le=1 << 40)]
 
 
-class Link(Part):
+class Link(StrictModel):
     """A link that several sites share, between them and all that is not behind it."""
 
     bytes_per_s: Rate
     sites: Annotated[list[Label], Field(min_length=1, max_length=1024)]
 
 
-class Site(Part):
+class Site(StrictModel):
     """A site's own link, and its gateways by `module.number`; the first that is heard is its receiver."""
 
     bytes_per_s: Rate
     gateways: Annotated[list[Annotated[int, Field(ge=0, le=1023)]], Field(min_length=1, max_length=1024)]
 
 
-class Model(Part):
+class Model(StrictModel):
     version: Label
     priority: Annotated[int, Field(ge=0, le=99)]  # class; 0 goes before 1
     by_unix_ms: Annotated[int, Field(ge=0)] | None = (
@@ -51,7 +51,7 @@
     vocabulary: Annotated[str, Field(pattern=r"^([0-9a-f]{32})?$")] = ""
 
 
-class Wanted(Part):
+class Wanted(StrictModel):
     version: Annotated[int, Field(ge=0)]
     grant_ms: Annotated[float, Field(ge=200, le=10_000)] = 1000  # how long a grant lasts at most
     least_share: Annotated[float, Field(ge=0, le=0.5)] = (
--- a/stackpitch/exchange.py
+++ b/stackpitch/exchange.py
@@ -5,12 +5,12 @@
 from stackpitch.wire import http
 
 
-def answered(
+def round_trip(
     stream: Stream, request: bytes, max_head: int, max_body: int
-) -> Coro[http.ResponseReader | None]:
+) -> Coro[http.ResponseParser | None]:
     """Writes the request and reads the answer, its body in `pieces`; None if the connection ends before. Raises Lost,
     http.BadMessage."""
-    reader = http.ResponseReader(max_head, max_body)
+    reader = http.ResponseParser(max_head, max_body)
     stream.write(request)
     pieces: list[bytes] = []
     while not reader.complete:
@@ -23,15 +23,15 @@
     return reader
 
 
-def asked(
+def request_once(
     world: World, address: Address, limit: Time, request: bytes, max_body: int = 1 << 16
-) -> Coro[http.ResponseReader | None]:
+) -> Coro[http.ResponseParser | None]:
     """The same on a connection of its own, connecting included in the limit; None if no whole answer came."""
     try:
         with world.limit(limit):
             stream = yield from world.connect(address, limit)
             try:
-                return (yield from answered(stream, request, 1 << 15, max_body))
+                return (yield from round_trip(stream, request, 1 << 15, max_body))
             finally:
                 stream.close()
     except (Lost, ConnectFailed, http.BadMessage):
--- a/stackpitch/expect/deployment.py
+++ b/stackpitch/expect/deployment.py
@@ -13,7 +13,7 @@
 from stackpitch.interface import Customer, Product, Server, Time
 from stackpitch.preferences import DAY_MINUTES, FIRST_DAY, MINUTE, Preferences, Rule
 from stackpitch.settings import Fleet, Settings
-from stackpitch.settings.made import customers, kinds, module_arguments, preferences, products
+from stackpitch.settings.convert import customers, kinds, module_arguments, preferences, products
 
 ROLE = {"readers": "reader", "writers": "writer", "mixed servers": "mixed"}
 
--- a/stackpitch/gateway/admin.py
+++ b/stackpitch/gateway/admin.py
@@ -11,7 +11,7 @@
 Route = Callable[[Mapping[str, str]], Coro[tuple[int, bytes]]]  # what stood after the ?, to status and body
 Taker = Callable[[bytes], Coro[tuple[int, bytes]]]  # the request's body, to status and body
 Streamer = Callable[
-    [http.RequestReader, Stream], Coro[bool]
+    [http.RequestParser, Stream], Coro[bool]
 ]  # writes a long answer; whether the connection is kept
 
 
@@ -57,7 +57,7 @@
 
     def _answered(self, stream: Stream) -> Coro[bool]:
         """One request; whether another may follow."""
-        reader, streamer = http.RequestReader(8192, self.max_body), None
+        reader, streamer = http.RequestParser(8192, self.max_body), None
         with self.world.limit(self.LIMIT) as scope:
             while not reader.complete:
                 data = yield from stream.recv()
@@ -71,9 +71,9 @@
                 yield from self._short(stream, reader)
         if scope.expired or streamer is None:
             return False
-        return (yield from streamer(reader, stream)) and not reader.extra
+        return (yield from streamer(reader, stream)) and not reader.extra_bytes
 
-    def _short(self, stream: Stream, reader: http.RequestReader) -> Coro[None]:
+    def _short(self, stream: Stream, reader: http.RequestParser) -> Coro[None]:
         route = self.routes.get((reader.method, reader.path))
         taker = self.takers.get(reader.path) if reader.method == "POST" else None
         if taker is not None:
--- a/stackpitch/gateway/connections.py
+++ b/stackpitch/gateway/connections.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING
 
-from stackpitch.exchange import answered
+from stackpitch.exchange import round_trip
 from stackpitch.gateway.bounds import Bounds
 from stackpitch.gateway.outcomes import Phase
 from stackpitch.gateway.pool import Budget, NoneFree, Pool
@@ -59,14 +59,14 @@
 
     def exchange(
         self, stream: Stream, method: str, target: str, name: str, body: bytes, last: bool = False
-    ) -> Coro[http.ResponseReader | None]:
+    ) -> Coro[http.ResponseParser | None]:
         """One request and its whole answer, the body in `pieces`; None if it can't be followed by another, unless it is
         the `last`."""
         request = http.request(method, target, name, body, [("x-gateway", self.name)])
-        reader = yield from answered(stream, request, self.bounds.max_head, 1 << 16)
+        reader = yield from round_trip(stream, request, self.bounds.max_head, 1 << 16)
         if reader is None:
             return None
-        return reader if last or (reader.keep_alive and not reader.extra) else None
+        return reader if last or (reader.keep_alive and not reader.extra_bytes) else None
 
     def counted(self, call: Coro[None]) -> Coro[None]:
         self.calls += 1
@@ -83,7 +83,7 @@
 
     def call(
         self, server: Server, method: str, target: str, body: bytes, limit: Time | None = None
-    ) -> Coro[http.ResponseReader | None]:
+    ) -> Coro[http.ResponseParser | None]:
         """One small call; None if no whole answer came in time. `limit`: other than the bounds in force have it."""
         if server not in self.roster.addresses:
             return None
--- a/stackpitch/gateway/door.py
+++ b/stackpitch/gateway/door.py
@@ -17,7 +17,7 @@
 from stackpitch.interface import Generation, Time
 from stackpitch.loop import Coro, Group, Listener, Lost, Stream, World
 from stackpitch.wire import http
-from stackpitch.wire.engine import GENERATE, error_body
+from stackpitch.wire.engine import GENERATE_PATHS, error_body
 
 if TYPE_CHECKING:
     from stackpitch.gateway.logs import Log
@@ -122,7 +122,7 @@
         Its time limit counts from when its first byte may have come: it may have lain here, unread, while this process
         was busy or not run.
         """
-        reader, held = http.RequestReader(self.max_head, self.max_body), 0
+        reader, held = http.RequestParser(self.max_head, self.max_body), 0
         try:
             first = yield from self._first(stream, kept)
             if not first:
@@ -150,16 +150,18 @@
         finally:
             self.bodies -= held
 
-    def _last(self, reader: http.RequestReader) -> list[tuple[str, str]]:
+    def _last(self, reader: http.RequestParser) -> list[tuple[str, str]]:
         """What an answer says if it is its connection's last."""
         return (
-            [] if reader.keep_alive and not reader.extra and not self.stopping else [("connection", "close")]
+            []
+            if reader.keep_alive and not reader.extra_bytes and not self.stopping
+            else [("connection", "close")]
         )
 
-    def _answer(self, stream: Stream, reader: http.RequestReader, began: Time) -> Coro[bool]:
+    def _answer(self, stream: Stream, reader: http.RequestParser, began: Time) -> Coro[bool]:
         """`began`: when its first byte came."""
         path, method = reader.path, reader.method
-        if path in GENERATE and method == "POST":
+        if path in GENERATE_PATHS and method == "POST":
             return (yield from self._generation(stream, reader, began))
         if path == "/v1/models" and method == "GET":
             assert self.reading is not None
@@ -174,22 +176,25 @@
             )
         elif path == "/health" and method == "GET":
             stream.write(http.response(503 if self.stopping else 200, b"{}", self._last(reader)))
-        elif path in (*GENERATE, "/v1/models", "/health"):
+        elif path in (*GENERATE_PATHS, "/v1/models", "/health"):
             yield from self._error(
                 stream, 405, "method_not_allowed", f"{method} is not allowed on {path}", again=False
             )
             return False
         else:
-            allowed = ", ".join((*GENERATE, "/v1/models"))
+            allowed = ", ".join((*GENERATE_PATHS, "/v1/models"))
             yield from self._error(
                 stream, 404, "not_found", f"found {path[:80]!r}; allowed: {allowed}", again=False
             )
             return False
         return (
-            (yield from self._taken(stream)) and reader.keep_alive and not reader.extra and not self.stopping
+            (yield from self._taken(stream))
+            and reader.keep_alive
+            and not reader.extra_bytes
+            and not self.stopping
         )
 
-    def _generation(self, stream: Stream, reader: http.RequestReader, began: Time) -> Coro[bool]:
+    def _generation(self, stream: Stream, reader: http.RequestParser, began: Time) -> Coro[bool]:
         if (reason := self._untaken()) is not None:
             self._note_untaken(stream, reader, reason)
             yield from self._error(
@@ -205,7 +210,7 @@
             return (
                 (yield from self._taken(stream))
                 and reader.keep_alive
-                and not reader.extra
+                and not reader.extra_bytes
                 and not self.stopping
             )
         except http.BadMessage:
@@ -226,14 +231,14 @@
         if (reason := may_end(ending)) is not None and self.host.refusals.note(Act.END, reason):
             self.log.error("invariant_broken", act=Act.END, reason=reason, generation=ask.gen.name)
 
-    def _note_untaken(self, stream: Stream, reader: http.RequestReader, reason: Reason) -> None:
+    def _note_untaken(self, stream: Stream, reader: http.RequestParser, reason: Reason) -> None:
         self.host.refusals.note(Act.TAKE, reason)
         self._why_after[stream] = Closing.STOPPING
         if self.host.telling.tells(self.world.now(), reason):
             named = next((reader.headers[one] for one in REQUEST_ID_FIELDS if one in reader.headers), "")
             self.log.info("untaken", id=named, why=reason, left_out=self.host.telling.take_left_out())
 
-    def _ask(self, stream: Stream, reader: http.RequestReader, began: Time) -> Ask:
+    def _ask(self, stream: Stream, reader: http.RequestParser, began: Time) -> Ask:
         """What a whole request asks for. Raises BadRequest, or BadMessage which ends the connection as well."""
         self.count += 1
         assert self.reading is not None
@@ -259,7 +264,7 @@
             ask.spoken = self.speaking.spoken(facts)
         return ask
 
-    def _carry(self, stream: Stream, reader: http.RequestReader, ask: Ask) -> Coro[bool]:
+    def _carry(self, stream: Stream, reader: http.RequestParser, ask: Ask) -> Coro[bool]:
         """From a taken generation to its final answer; whether the connection serves another."""
         if ask.left():  # with its request, or while that waited here for its turn: nothing is begun for it
             if ask.flooded:
@@ -286,7 +291,7 @@
         if not (yield from self._taken(stream, ask.patience)):
             self._why_after[stream] = Closing.NOT_TAKEN
             return False
-        if ask.surplus or reader.extra:
+        if ask.surplus or reader.extra_bytes:
             self._why_after[stream] = Closing.PIPELINED
             yield from self._error(
                 stream, 400, "pipelining_refused", "ask again once the answer is whole", again=True
--- a/stackpitch/gateway/duties.py
+++ b/stackpitch/gateway/duties.py
@@ -10,7 +10,7 @@
 from stackpitch.gateway.logs import Log
 from stackpitch.loop import Coro, Stream, World
 from stackpitch.settings import Settings
-from stackpitch.settings.made import ticks
+from stackpitch.settings.convert import ticks
 from stackpitch.wire import http
 
 
@@ -102,7 +102,7 @@
     def revenue() -> float:
         return sum(ask.gen.product.revenue for ask in host.asks.values())
 
-    def given(request: http.RequestReader, stream: Stream) -> Coro[bool]:
+    def given(request: http.RequestParser, stream: Stream) -> Coro[bool]:
         return (yield from serving.answer(world, work.receiver, request, stream))
 
     assert settings.duties.weights is not None
--- a/stackpitch/gateway/engines.py
+++ b/stackpitch/gateway/engines.py
@@ -24,7 +24,7 @@
     def __init__(self, front: "Engines", ask: OpenAsk, leg: Leg, limit: Time) -> None:
         super().__init__(front.host, ask, leg, limit)
         self.front, self.ask = front, ask
-        self.part: engine.Part = "read" if leg.server.role == "reader" else "whole"
+        self.part: engine.LegKind = "read" if leg.server.role == "reader" else "whole"
 
     def _load(self) -> str | None:
         return self.reader.trailers.get(orca.HEADER) or self.reader.headers.get(orca.HEADER)
@@ -101,11 +101,14 @@
         whole, why = False, f"status {self.reader.status}"
         if self.part == "read" and self.reader.status == 200:
             try:
-                kept, whole = engine.read_answer(body).usage.kept_of(self.leg.gen.prompt_tok), True
+                kept, whole = (
+                    engine.parse_read_answer(body).usage.cached_tok_within(self.leg.gen.prompt_tok),
+                    True,
+                )
             except ValueError as wrong:
                 why = f"a reader's answer is wanted: {wrong}"  # an error by the rule of outcomes
         outcome, no_state = answered(
-            self.part, self.reader.status, engine.refusal(self.reader.status, body), whole
+            self.part, self.reader.status, engine.refusal_code(self.reader.status, body), whole
         )
         return End(outcome, self.phase[0], kept, no_state, self._load(), why)
 
@@ -129,7 +132,7 @@
                     continue
                 if not raw:
                     raise Lost("closed by the engine")
-                aligned = reader.aligned
+                aligned = reader.at_chunk_boundary
                 feed(raw)
                 pieces = reader.pieces
                 tail.extend(pieces)
@@ -138,7 +141,7 @@
                 if (
                     client is None
                     or reader.complete
-                    or not (aligned and reader.aligned)
+                    or not (aligned and reader.at_chunk_boundary)
                     or ask.collector is not None
                 ):
                     gone = not ask.pass_on(pieces)
@@ -171,7 +174,7 @@
         return End(
             "streamed",
             Phase.STREAMING,
-            usage.kept_of(self.leg.gen.prompt_tok) if usage else 0,
+            usage.cached_tok_within(self.leg.gen.prompt_tok) if usage else 0,
             report=self._load(),
         )
 
@@ -211,7 +214,7 @@
 
     def report(self, text: str) -> Report | None:
         fields = orca.parse(text)
-        return self.host.doubts.report(*(fields.get(name) for name in self.load_fields))
+        return self.host.plausibility.report(*(fields.get(name) for name in self.load_fields))
 
     def started(self, ask: Ask, leg: Leg, fetched: bool) -> None:
         assert isinstance(ask, OpenAsk)
--- a/stackpitch/gateway/host/asked.py
+++ b/stackpitch/gateway/host/asked.py
@@ -61,15 +61,15 @@
         self.prefer(self.brain.preferences)
 
     def prefer(self, preferences: Preferences) -> None:
-        preferences.also = self.preferences_also
-        self.brain.prefer(preferences)
+        preferences.server_filter = self.preferences_also
+        self.brain.set_preferences(preferences)
 
     def replace_brain(self, seed: int, preferences: Preferences, arguments: Mapping[str, Any]) -> RuledBrain:
         """Another module in force, that knows no server yet. Gives the one before, which goes on with what arrived at it.
 
         `preferences`: an object of its own, as each module keeps in it what it was told.
         """
-        preferences.also = self.preferences_also
+        preferences.server_filter = self.preferences_also
         before, brain = self.brain, RuledBrain(self, seed, preferences, **arguments)  # type: ignore[abstract]
         self.keep_arrival_settings()
         self.brain = brain
@@ -136,7 +136,7 @@
 
         def call() -> Coro[None]:
             well, report = yield from self.front.probe(server)
-            self.doubts.server = server.name
+            self.plausibility.server = server.name
             self._tell(
                 None,
                 lambda now: brain.probed(
--- a/stackpitch/gateway/host/told.py
+++ b/stackpitch/gateway/host/told.py
@@ -21,7 +21,7 @@
 from stackpitch.interface import Generation, Leg, Report, Server, Time
 from stackpitch.loop import Group, World
 from stackpitch.membership.entries import Entry
-from stackpitch.plausible import Doubts
+from stackpitch.plausible import PlausibilityFilter
 from stackpitch.preferences import RuledBrain
 
 if TYPE_CHECKING:
@@ -63,7 +63,7 @@
         self.earlier: dict[
             Generation, ArrivalSettings
         ] = {}  # of those from before a reload; emptied as `asks`
-        self.doubts, self.counters, self.refusals = Doubts(), Counters(), Refusals()
+        self.plausibility, self.counters, self.refusals = PlausibilityFilter(), Counters(), Refusals()
         self.telling = Telling()
         self.relayed = 0
         self.emptied: Callable[[], None] | None = None
@@ -246,12 +246,12 @@
                 ask.finish()
             else:
                 ask.break_off("stream_broken", f"the stream broke: {end.why or end.outcome}")
-        self.doubts.server = leg.server.name
-        kept = self.doubts.kept(end.kept, gen.prompt_tok)
+        self.plausibility.server = leg.server.name
+        kept = self.plausibility.cached_tok(end.kept, gen.prompt_tok)
         self.counters.leg_ended(self.world.now(), leg, kept)
         brain = self.brain_of(gen)
         self._tell(ask, lambda now: brain.ended(now, leg, kept, end.no_state, self._report(end)))
-        if (doubted := self.doubts.due(self.world.now())) is not None:
+        if (doubted := self.plausibility.due_log_fields(self.world.now())) is not None:
             self.logger.warning("implausible", **doubted)
         if not gen.over and not gen.out():
             self.logger.error("module_kept_without_leg", generation=gen.name, outcome=end.outcome)
@@ -283,7 +283,7 @@
         try:
             return self.front.report(end.report)
         except ValueError as wrong:
-            self.doubts.note("load_unread")
+            self.plausibility.count("load_unread")
             self.logger.debug("bad_report", why=str(wrong))
             return None
 
--- a/stackpitch/gateway/intake.py
+++ b/stackpitch/gateway/intake.py
@@ -56,7 +56,7 @@
             rest.first = stream.recv_now(look=True) or b""  # it may have come in the very moment
         return rest.first
 
-    def _rest(self, stream: Stream, reader: http.RequestReader, held: int) -> Coro[int]:
+    def _rest(self, stream: Stream, reader: http.RequestParser, held: int) -> Coro[int]:
         """Reads until the request is whole or the client has left; bytes of body that now count as held."""
         continued = False
         try:
--- a/stackpitch/gateway/keeper/files.py
+++ b/stackpitch/gateway/keeper/files.py
@@ -7,7 +7,7 @@
 from stackpitch.loop import Coro, Watch, World
 from stackpitch.membership.bundle import files_of
 from stackpitch.settings import Settings
-from stackpitch.settings.made import ticks
+from stackpitch.settings.convert import ticks
 
 Prints = dict[str, Any]  # by file, what tells, without reading, that it is another one or was written
 
--- a/stackpitch/gateway/keeper/inforce.py
+++ b/stackpitch/gateway/keeper/inforce.py
@@ -12,7 +12,7 @@
 from stackpitch.membership.registrar import Figures, Registrar, Verdict
 from stackpitch.membership.store import Kept
 from stackpitch.settings import Settings
-from stackpitch.settings.made import kinds, ticks
+from stackpitch.settings.convert import kinds, ticks
 
 
 def figures(settings: Settings) -> Figures:
--- a/stackpitch/gateway/keeper/keeper.py
+++ b/stackpitch/gateway/keeper/keeper.py
@@ -16,9 +16,9 @@
 from stackpitch.loop import Coro, Group, Watch, World
 from stackpitch.membership.bundle import Bundle, read_set
 from stackpitch.membership.registrar import Verdict
-from stackpitch.settings import LIVE, BadSettings, Settings
+from stackpitch.settings import LIVE_SETTINGS, BadSettings, Settings
+from stackpitch.settings.convert import ticks
 from stackpitch.settings.load import check
-from stackpitch.settings.made import ticks
 
 T = TypeVar("T")
 UNSETTLED = "the files changed while they were read"
@@ -203,7 +203,7 @@
     def _take_settings(self, new: Settings) -> None:
         old = self.settings
         differ = {name for name in Settings.model_fields if getattr(old, name) != getattr(new, name)}
-        live, rest = differ & LIVE, tuple(sorted(differ - LIVE))
+        live, rest = differ & LIVE_SETTINGS, tuple(sorted(differ - LIVE_SETTINGS))
         if rest != self.restart_wanted:
             self.restart_wanted = rest
             if rest:
--- a/stackpitch/gateway/leg.py
+++ b/stackpitch/gateway/leg.py
@@ -38,7 +38,7 @@
         self.ends = min(host.world.now() + limit, leg.gen.gives_up)
         self.carried = ask
         self.phase = [Phase.QUEUED]
-        self.reader = http.ResponseReader(host.bounds.max_head, host.bounds.max_answer)
+        self.reader = http.ResponseParser(host.bounds.max_head, host.bounds.max_answer)
         self.moved = 0  # bytes of the stream so far
         self.gap_timer: Timer | None = None
         self.waits = False  # for a slow client
@@ -102,7 +102,12 @@
 
     def _leave(self, pool: Pool, stream: Stream, end: End | None) -> None:
         """Only a connection whose answer was whole, with nothing after it, serves another leg."""
-        good = end is not None and self.reader.complete and self.reader.keep_alive and not self.reader.extra
+        good = (
+            end is not None
+            and self.reader.complete
+            and self.reader.keep_alive
+            and not self.reader.extra_bytes
+        )
         unused = end is not None and end.outcome == "not-sent"
         if (good or unused) and not stream.eof:
             pool.give(stream)
--- a/stackpitch/gateway/loading.py
+++ b/stackpitch/gateway/loading.py
@@ -53,7 +53,7 @@
         finally:
             self.looking = False
 
-    def _said(self, server: Server, answer: http.ResponseReader | None) -> None:
+    def _said(self, server: Server, answer: http.ResponseParser | None) -> None:
         self.runs.pop(server, None)
         if answer is not None and answer.status == 200:
             try:
--- a/stackpitch/gateway/outcomes.py
+++ b/stackpitch/gateway/outcomes.py
@@ -9,7 +9,7 @@
 from typing import Literal
 
 from stackpitch.interface import Outcome
-from stackpitch.wire.engine import NO_STATE, Part
+from stackpitch.wire.engine import NO_STATE, LegKind
 
 
 class Phase(IntEnum):
@@ -51,7 +51,7 @@
     return "error" if how == "garbled" else "reset"
 
 
-def answered(part: Part, status: int, code: str | None, whole: bool) -> tuple[Outcome, bool]:
+def answered(part: LegKind, status: int, code: str | None, whole: bool) -> tuple[Outcome, bool]:
     """Outcome, and whether there was no state to fetch. `code`: of a refusal; `whole`: a good body of its kind."""
     if code is not None:
         return "full", code == NO_STATE
--- a/stackpitch/gateway/serve.py
+++ b/stackpitch/gateway/serve.py
@@ -20,7 +20,7 @@
 from stackpitch.interface import Time
 from stackpitch.loop import SECOND, Coro, Group, World
 from stackpitch.settings import Settings
-from stackpitch.settings.made import customers, kinds, module_arguments, preferences, products, ticks
+from stackpitch.settings.convert import customers, kinds, module_arguments, preferences, products, ticks
 
 if TYPE_CHECKING:
     from stackpitch.duties.carrier import Duties
--- a/stackpitch/platform/config.py
+++ b/stackpitch/platform/config.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from stackpitch.benchlink.settings import Missing, Tree
+from stackpitch.benchlink.settings import InvalidSetting, SettingsSection
 from stackpitch.loop.world import Address
-from stackpitch.wire.platform import Listed, listed
+from stackpitch.wire.platform import ServerList, parse_server_list
 
 LEAST = {"sockets": 32, "memory_mb": 24}  # under these there is no room to work
 LACKS = "missing, of the wrong kind or out of range"
@@ -35,8 +35,8 @@
     seed: int
     sockets: int  # descriptors that the process may hold
     memory_mb: int
-    known: Listed
-    settings: Tree
+    known: ServerList
+    settings: SettingsSection
 
 
 def address(text: str, field: str) -> Address:
@@ -57,9 +57,9 @@
         raise BadConfig(f"seed: found {text[:60]!r}; hex digits are wanted") from None
 
 
-def known(values: Any) -> Listed:
+def known(values: Any) -> ServerList:
     try:
-        return listed(msgspec.json.encode(values))
+        return parse_server_list(msgspec.json.encode(values))
     except ValueError as wrong:
         raise BadConfig(f"known: {wrong}") from None
 
@@ -75,8 +75,8 @@
     except (OSError, msgspec.DecodeError, ValueError, RecursionError) as wrong:
         raise Unreadable(f"RELAY_CONFIG: {wrong}") from None
     try:
-        top = Tree(tree)
-        limits = top.tree("limits")
+        top = SettingsSection(tree)
+        limits = top.section("limits")
         name = top.get("name", str, given.get("RELAY_NAME", "gateway"))
         seed = top.get("seed", (str, int), "0")
         for field, least in LEAST.items():
@@ -90,17 +90,17 @@
             int(limits.number("sockets", 1024)),
             int(limits.number("memory_mb", 128)),
             known(top.values.get("known", {})),
-            top.tree("settings"),
+            top.section("settings"),
         )
-    except Missing as lack:
+    except InvalidSetting as lack:
         raise BadConfig(f"{lack}: {LACKS}") from None
     except ValueError as wrong:  # a number of thousands of digits
         raise BadConfig(f"RELAY_CONFIG: {wrong}") from None
 
 
-def parts(settings: Tree, take: Any) -> Any:
+def parts(settings: SettingsSection, take: Any) -> Any:
     """One of the readers of `benchlink.settings`, its complaint as a BadConfig."""
     try:
         return take(settings)
-    except Missing as lack:
+    except InvalidSetting as lack:
         raise BadConfig(f"{lack}: {LACKS}") from None
--- a/stackpitch/platform/discovery.py
+++ b/stackpitch/platform/discovery.py
@@ -41,7 +41,7 @@
     """
 
     def __init__(
-        self, world: World, host: Host, log: "Log", target: Address, known: platform.Listed, times: Times
+        self, world: World, host: Host, log: "Log", target: Address, known: platform.ServerList, times: Times
     ) -> None:
         self.world, self.host, self.log, self.target, self.times = world, host, log, target, times
         self.entries: dict[str, Entry] = {}
@@ -62,7 +62,7 @@
             if self.scope is not None:
                 self.scope.cancel()
 
-    def take(self, told: platform.Listed, current: bool = False) -> None:
+    def take(self, told: platform.ServerList, current: bool = False) -> None:
         """A member that can't be used is left out; one that is known keeps the entry it had, as nothing is told of it.
         `current`: as discovery has it now."""
         before = dict(self.entries)
@@ -150,7 +150,7 @@
         """Asks for the whole list until it comes, and takes it; the connection it came on. A try that is silent is not
         waited for: the next one begins beside it, and the first whole answer ends the others. A part of a list tells its
         members, but not what else there is."""
-        found: list[tuple[Stream, platform.Listed]] = []
+        found: list[tuple[Stream, platform.ServerList]] = []
 
         def one(group: Group) -> Coro[None]:
             try:
@@ -195,10 +195,10 @@
                     stream.close()
         return kept
 
-    def _whole(self) -> Coro[tuple[Stream, platform.Listed]]:
+    def _whole(self) -> Coro[tuple[Stream, platform.ServerList]]:
         stream = yield from self.world.connect(self.target, BOUND)
         try:
-            told, keeps = yield from self._call(stream, platform.LIST)
+            told, keeps = yield from self._call(stream, platform.TARGETS_PATH)
         except BaseException:
             stream.close()
             raise
@@ -206,7 +206,7 @@
             stream.close()
         return stream, told
 
-    def _told(self, told: platform.Listed) -> None:
+    def _told(self, told: platform.ServerList) -> None:
         if self.said:
             self.said.clear()
             self.log.info("discovery_back", revision=told.revision)
@@ -216,7 +216,7 @@
 
     def _follow(self, stream: Stream) -> Coro[None]:
         """The watch. Each next call goes out with the answer, on a new connection if discovery closes the old one."""
-        told: platform.Listed | None
+        told: platform.ServerList | None
         try:
             while True:
                 since, told, keeps, asked = self.revision, None, True, self.world.now()
@@ -224,7 +224,7 @@
                 with self.world.limit(self.times.wait + self.times.grace):
                     if stream.closed:
                         stream = yield from self.world.connect(self.target, self.times.grace)
-                    told, keeps = yield from self._call(stream, f"{platform.LIST}{query}")
+                    told, keeps = yield from self._call(stream, f"{platform.TARGETS_PATH}{query}")
                 if told is None:
                     raise Lost(f"no answer within {(self.times.wait + self.times.grace) // MS} ms")
                 if since is None and not told.complete:
@@ -246,10 +246,10 @@
         finally:
             stream.close()
 
-    def _call(self, stream: Stream, target: str) -> Coro[tuple[platform.Listed, bool]]:
+    def _call(self, stream: Stream, target: str) -> Coro[tuple[platform.ServerList, bool]]:
         """What was answered, and whether the connection serves another call."""
         host, port = self.target
-        reader = http.ResponseReader(1 << 14, MAX_LIST)
+        reader = http.ResponseParser(1 << 14, MAX_LIST)
         stream.write(http.request("GET", target, f"{host}:{port}", b""))
         pieces: list[bytes] = []
         try:
@@ -261,6 +261,6 @@
                 pieces += reader.pieces
             if reader.status != 200:
                 raise BadAnswer(f"status {reader.status}")
-            return platform.listed(b"".join(pieces)), reader.keep_alive and not reader.extra
+            return platform.parse_server_list(b"".join(pieces)), reader.keep_alive and not reader.extra_bytes
         except (http.BadMessage, ValueError) as wrong:
             raise BadAnswer(str(wrong)) from None
--- a/stackpitch/platform/door.py
+++ b/stackpitch/platform/door.py
@@ -10,7 +10,7 @@
 from stackpitch.loop import Coro, Stream
 from stackpitch.platform.ask import PlatformAsk
 from stackpitch.wire import http, platform
-from stackpitch.wire.engine import GENERATE
+from stackpitch.wire.engine import GENERATE_PATHS
 
 
 class PlatformDoor(Door):
@@ -52,22 +52,22 @@
         self.shrinking = self.shrinking and self._beyond() > 0
         return not self.shrinking
 
-    def _answer(self, stream: Stream, reader: http.RequestReader, began: Time) -> Coro[bool]:
-        if reader.path in GENERATE and reader.method == "POST":
+    def _answer(self, stream: Stream, reader: http.RequestParser, began: Time) -> Coro[bool]:
+        if reader.path in GENERATE_PATHS and reader.method == "POST":
             return (yield from self._generation(stream, reader, began)) and self._may_stay()
-        if reader.path in (platform.READY, platform.WELL) and reader.method == "GET":
-            well = reader.path == platform.WELL or (self.ready and not self.stopping)
+        if reader.path in (platform.READY_PATH, platform.HEALTHY_PATH) and reader.method == "GET":
+            well = reader.path == platform.HEALTHY_PATH or (self.ready and not self.stopping)
             stream.write(http.response(200 if well else 503, b"{}", self._last(reader)))
             return (
                 (yield from self._taken(stream))
                 and reader.keep_alive
-                and not reader.extra
+                and not reader.extra_bytes
                 and not self.stopping
             )
         raise http.BadMessage(404, f"found {reader.method} {reader.path[:80]!r}")
 
-    def _ask(self, stream: Stream, reader: http.RequestReader, began: Time) -> Ask:
-        facts = platform.facts(reader.headers)
+    def _ask(self, stream: Stream, reader: http.RequestParser, began: Time) -> Ask:
+        facts = platform.parse_request_head(reader.headers)
         product = self.products.get(facts.product)
         if product is None:
             raise http.BadMessage(
@@ -95,6 +95,8 @@
             facts.resumed,
         )
         headers = [
-            (name, value) for name, value in http.end_to_end(reader.headers) if name != platform.DEADLINE
+            (name, value)
+            for name, value in http.end_to_end(reader.headers)
+            if name != platform.DEADLINE_HEADER
         ]
         return PlatformAsk(gen, stream, reader.method, reader.url.decode("latin-1"), headers, reader.body())
--- a/stackpitch/platform/leases.py
+++ b/stackpitch/platform/leases.py
@@ -32,7 +32,7 @@
         if (reason := may_hold(leg)) is not None:
             self.host.forbidden(Act.HOLD, reason, leg)
             return False
-        answer = yield from self.host.call(server, "POST", platform.LEASES + ask.gen.name, b"")
+        answer = yield from self.host.call(server, "POST", platform.LEASES_PATH + ask.gen.name, b"")
         if answer is None or answer.status in (200, 204):  # unknown is perhaps held
             ask.held = True
             if ask.gen.over and not ask.gen.out():
@@ -45,7 +45,7 @@
         return False, None
 
     def report(self, text: str) -> Report | None:
-        return platform.report(text, self.host.doubts)
+        return platform.parse_load_report(text, self.host.plausibility)
 
     def started(self, ask: Ask, leg: Leg, fetched: bool) -> None:
         assert isinstance(ask, PlatformAsk)
--- a/stackpitch/platform/leg.py
+++ b/stackpitch/platform/leg.py
@@ -22,7 +22,7 @@
 
     def __init__(self, host: "Host", ask: PlatformAsk, leg: Leg, limit: Time) -> None:
         super().__init__(host, ask, leg, limit)
-        self.ask, self.events = ask, platform.Events(parts=pacing.most_events(leg.gen.limit_tok))
+        self.ask, self.events = ask, platform.EventParser(parts=pacing.most_events(leg.gen.limit_tok))
 
     def _load(self) -> str | None:
         return self.events.load or self.reader.headers.get("srv-load")
@@ -42,7 +42,11 @@
         ask, host, port = self.ask, *self.host.roster.addresses[self.leg.server]
         left = max(1, self.time_left() // MS)
         return http.request(
-            ask.method, ask.target, f"{host}:{port}", ask.body, [*ask.headers, (platform.DEADLINE, str(left))]
+            ask.method,
+            ask.target,
+            f"{host}:{port}",
+            ask.body,
+            [*ask.headers, (platform.DEADLINE_HEADER, str(left))],
         )
 
     def _exchange(self, stream: Stream, scope: Scope) -> Coro[End]:
@@ -80,9 +84,11 @@
             body += b"".join(reader.pieces)
             if len(body) > SMALL:
                 raise http.BadMessage(502, f"answer is over {SMALL} bytes")
-        kept = platform.read_kept(body) if reader.status == 202 else None
+        kept = platform.parse_cached_tokens(body) if reader.status == 202 else None
         declined = reader.headers.get("srv-declined") == "1"
-        outcome, no_state = platform.answered(self.leg.server.role, reader.status, declined, kept is not None)
+        outcome, no_state = platform.classify_answer(
+            self.leg.server.role, reader.status, declined, kept is not None
+        )
         return End(
             outcome,
             self.phase[0],
@@ -128,4 +134,4 @@
         if ask.client is not None:
             ask.patience = self._owed(ask.client, 0, events.events)
         usage = engine.last_usage(events.usage + b"\n\n")
-        return End("streamed", Phase.STREAMING, usage.kept if usage else 0, report=self._load())
+        return End("streamed", Phase.STREAMING, usage.cached_tok if usage else 0, report=self._load())
--- a/stackpitch/platform/plan.py
+++ b/stackpitch/platform/plan.py
@@ -58,9 +58,9 @@
         return mine.seed == others.seed and bool(mine.settings.values == others.settings.values)
 
 
-def bounds(settings: reading.Tree, engines: int, buffer: int) -> Bounds:
+def bounds(settings: reading.SettingsSection, engines: int, buffer: int) -> Bounds:
     """`engines`: connections to servers. `buffer`: bytes that may wait for a client."""
-    allowed, extra = settings.tree("bounds"), settings.tree("extra")
+    allowed, extra = settings.section("bounds"), settings.section("extra")
     connect, release = allowed.ticks("connectTimeoutMs", 250), extra.ticks("releaseMs", 500)
     return Bounds(
         pool=engines,
@@ -98,7 +98,7 @@
         engines=engines,
         calls=max(1, engines // CALLS_PART),
         bodies=part,
-        arguments={**config.parts(conf.settings, reading.arguments), **NOT_CARRIED},
+        arguments={**config.parts(conf.settings, reading.module_arguments), **NOT_CARRIED},
         products=config.parts(conf.settings, reading.products),
         customers=config.parts(conf.settings, reading.customers),
         kinds=config.parts(conf.settings, reading.kinds),
--- a/stackpitch/platform/releasing.py
+++ b/stackpitch/platform/releasing.py
@@ -69,7 +69,7 @@
     def _tell(self, worker: Server) -> Coro[None]:
         self.told[worker] = self.host.world.now()
         self.tries += 1
-        target = platform.LEASES + self.request.name
+        target = platform.LEASES_PATH + self.request.name
         answer = yield from self.host.call(worker, "DELETE", target, b"", self.bounds.call)
         if answer is not None and answer.status == RELEASED and self.done_by is None:
             self.done_by = worker
--- a/stackpitch/platform/reloading.py
+++ b/stackpitch/platform/reloading.py
@@ -20,7 +20,7 @@
 from stackpitch.platform.door import PlatformDoor
 from stackpitch.platform.plan import Plan, planned
 from stackpitch.preferences import Preferences
-from stackpitch.wire.platform import Listed
+from stackpitch.wire.platform import ServerList
 
 if TYPE_CHECKING:
     from stackpitch.platform.lines import Lines
@@ -92,7 +92,7 @@
         self.door.products, self.door.customers = new.products, new.customers
         before = self.host.replace_brain(new.conf.seed, Preferences(), new.arguments)
         self.discovery.take_kinds(new.kinds)  # tells all modules the whole list
-        self.host.brain.continue_cold_turns(before)
+        self.host.brain.continue_slow_start(before)
 
     def _take_shares(self, new: Plan) -> None:
         """Bounds of connections, descriptors and memory. Where they are the same nothing changes."""
@@ -105,5 +105,5 @@
         self.discovery.times = watching.times(watching.share(conf.name, conf.seed))
         if not self.discovery.fresh and conf.known != old.conf.known:  # the known list is all there is so far
             known = conf.known
-            self.discovery.take(Listed(known.revision, True, known.members, known.bad))
+            self.discovery.take(ServerList(known.revision, True, known.members, known.bad))
         self.discovery.aim(conf.discovery)
--- a/stackpitch/plausible.py
+++ b/stackpitch/plausible.py
@@ -8,7 +8,7 @@
 
 from stackpitch.interface import SECOND, Report, Time
 
-NOISE = 0.5  # of a whole: that far outside its range a share is still taken for one
+SHARE_TOLERANCE = 0.5  # of a whole: that far outside its range a share is still taken for one
 MOST_QUEUED = 1e9  # requests; no server has so many
 SAY = 10 * SECOND  # between two lines of the log at least
 
@@ -23,7 +23,7 @@
         return nan
 
 
-class Doubts:
+class PlausibilityFilter:
     """Counts since the start. `server` is whose word is judged now."""
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
         self.server, self.last = "", ""
         self.said, self.said_at = 0, -SAY
 
-    def note(self, kind: str) -> None:
+    def count(self, kind: str) -> None:
         self.counts[kind] += 1
         self.last = self.server
 
@@ -43,10 +43,10 @@
         found = number(told)
         if 0 <= found <= 1:
             return found
-        if -NOISE <= found <= 1 + NOISE:
-            self.note("load_clipped")
+        if -SHARE_TOLERANCE <= found <= 1 + SHARE_TOLERANCE:
+            self.count("load_clipped")
             return min(1.0, max(0.0, found))
-        self.note("load_dropped")
+        self.count("load_dropped")
         return None
 
     def queued(self, told: object) -> float | None:
@@ -55,23 +55,23 @@
         found = number(told)
         if 0 <= found < MOST_QUEUED:
             return found
-        self.note("load_dropped")
+        self.count("load_dropped")
         return None
 
     def report(self, held: object, slots: object, queued: object) -> Report:
         return Report(self.share(held), self.share(slots), self.queued(queued))
 
-    def kept(self, told: object, prompt_tok: int) -> int:
+    def cached_tok(self, told: object, prompt_tok: int) -> int:
         """Tokens of the prompt that were found kept."""
         found = nan if isinstance(told, str) else number(told)
         if found < 0 or not found.is_integer():
-            self.note("kept_dropped")
+            self.count("kept_dropped")
             return 0
         if found > prompt_tok > 0:  # one whose prompt's length is not told can't be judged
-            self.note("kept_clipped")
+            self.count("kept_clipped")
         return int(min(found, prompt_tok))
 
-    def due(self, now: Time) -> dict[str, object] | None:
+    def due_log_fields(self, now: Time) -> dict[str, object] | None:
         """What the log is to say now, if anything: the counts that are not nought, and whose word was doubted last."""
         all = sum(self.counts.values())
         if all == self.said or now - self.said_at < SAY:
--- a/stackpitch/preferences.py
+++ b/stackpitch/preferences.py
@@ -98,7 +98,7 @@
         default_factory=dict
     )  # weight by role; empty while all weigh the same
     last: tuple[Generation, Time, list[Rule]] | None = None
-    also: Callable[[Generation, Server], bool] | None = (
+    server_filter: Callable[[Generation, Server], bool] | None = (
         None  # binds every leg as "only" does; None: says nothing
     )
 
@@ -120,7 +120,7 @@
 
     @property
     def hard(self) -> bool:
-        return self.also is not None or any(one.how in ("only", "never") for one in self.rules)
+        return self.server_filter is not None or any(one.how in ("only", "never") for one in self.rules)
 
     def meeting(self, now: Time, gen: Generation, hard: bool) -> list[Rule]:
         if not self.rules:
@@ -131,7 +131,7 @@
 
     def may(self, now: Time, gen: Generation, server: Server) -> bool:
         """Whether "only" and "never" leave it open. Asked for server after server: the last rules are kept."""
-        if self.also is not None and not self.also(gen, server):
+        if self.server_filter is not None and not self.server_filter(gen, server):
             return False
         if self.last is None or self.last[:2] != (gen, now):
             self.last = gen, now, self.meeting(now, gen, hard=True)
@@ -157,7 +157,7 @@
         return seats
 
 
-class WeighingGuard(Guard):
+class WeightedGuard(Guard):
     """The guard of the chain, with fewer servers to choose from where that leaves any."""
 
     def __init__(
@@ -170,7 +170,7 @@
         return self.preferences.narrow(now, gen, role, super().open(role, now, gen))
 
 
-class RuledGuard(WeighingGuard):
+class RuledGuard(WeightedGuard):
     """With "only" and "never" as well, which bind every leg."""
 
     ALIKE = False
@@ -184,18 +184,18 @@
 
     def __init__(self, gateway: Gateway, seed: int, preferences: Preferences, **arguments: Any) -> None:
         super().__init__(gateway, seed, **arguments)
-        self.prefer(preferences)
+        self.set_preferences(preferences)
 
-    def prefer(self, preferences: Preferences) -> None:
+    def set_preferences(self, preferences: Preferences) -> None:
         """Takes other rules, from the next decision on. What is under way stays as it is."""
         self.preferences, old = preferences, self.guard
-        kind = RuledGuard if preferences.hard else WeighingGuard
+        kind = RuledGuard if preferences.hard else WeightedGuard
         self.guard = kind(self.fleet, old.max_legs, old.max_retry_after, old.holds, preferences)
         for stage in (self.admission, self.owner, self.reader, self.writer):
             stage.guard = self.guard
         preferences.listed(self.fleet.seats)
 
-    def continue_cold_turns(self, before: "RuledBrain") -> None:
+    def continue_slow_start(self, before: "RuledBrain") -> None:
         """Counts cold servers' turns on from where the module before stands, which draws none any more. Guards rule 4: two
         modules at once, or one made anew again and again, would each send a cold server a budget of its own."""
         turns = {server.name: seat.turn for server, seat in before.fleet.seats.items()}
--- a/stackpitch/rehearse/clients/asking.py
+++ b/stackpitch/rehearse/clients/asking.py
@@ -157,7 +157,7 @@
             pass
 
     def read(self, stream: Stream, seen: Seen, relax: Any, leave_at: int | None) -> Coro[str]:
-        reader, events = http.ResponseReader(16384, 1 << 24), sse.Events()
+        reader, events = http.ResponseParser(16384, 1 << 24), sse.EventParser()
         body = b""
         while True:
             data = yield from stream.recv()
@@ -175,7 +175,7 @@
                     return "departed"
             else:
                 body += b"".join(reader.pieces)
-            if reader.extra:
+            if reader.extra_bytes:
                 raise http.BadMessage(502, "bytes after the answer")
             if reader.complete:
                 break
--- a/stackpitch/rehearse/day.py
+++ b/stackpitch/rehearse/day.py
@@ -16,9 +16,9 @@
     Milliseconds,
     Module,
     Name,
-    Part,
+    PositiveFloat,
     Product,
-    Some,
+    StrictModel,
 )
 
 Share = Annotated[float, Field(ge=0, le=1)]
@@ -64,14 +64,14 @@
     queue: Annotated[int, Field(ge=0)] = 32
     kept_tok: int = 400_000
     chunk: int = 2048
-    step_ms: Some = 12.0
+    step_ms: PositiveFloat = 12.0
     per_seq_ms: Milliseconds = 0.15
-    read_per_s: Some = 20_000.0
-    near_per_s: Some = 300_000.0
-    far_per_s: Some = 120_000.0
+    read_per_s: PositiveFloat = 20_000.0
+    near_per_s: PositiveFloat = 300_000.0
+    far_per_s: PositiveFloat = 120_000.0
 
 
-class Group(Part):
+class Group(StrictModel):
     """Servers of one kind, spread over the cells in turn."""
 
     kind: Name
@@ -81,21 +81,21 @@
     born_cold: bool = False
 
 
-class Traffic(Part):
+class Traffic(StrictModel):
     """What a product's sessions are like; means of skewed draws."""
 
     share: Share
     turns: Annotated[float, Field(ge=1)] = 2.0
-    new_tok: Some = 300.0
-    answer_tok: Some = 60.0
+    new_tok: PositiveFloat = 300.0
+    answer_tok: PositiveFloat = 60.0
     limit_tok: Annotated[int, Field(ge=1)] = 400
     opening_tok: Milliseconds = 1500.0
     openings: Annotated[int, Field(ge=1)] = 12
     opening_share: Share = 0.8
 
 
-class Clients(Part):
-    rate_per_s: Some = 12.0  # generations, later turns included
+class Clients(StrictModel):
+    rate_per_s: PositiveFloat = 12.0  # generations, later turns included
     think_s: Seconds = 1.5
     retries: Annotated[int, Field(ge=0)] = 2
     backoff_ms: Milliseconds = 150.0
@@ -106,7 +106,7 @@
     front_notice_s: Seconds = 1.5  # a gateway that refused is left out for this long
 
 
-class Trouble(Part):
+class Trouble(StrictModel):
     """`part` of those it may strike, or `cell` alone, or `names`; `strength` is what the kind takes it for.
 
     Among gateways' names, `owner` and `owner.DUTY` stand for the one that the network last saw act as owner, `receiver.SITE`
@@ -171,7 +171,7 @@
     word: Literal["announce", "confirm", "call off"] = "announce"  # an operator's, on a change of vocabulary
 
 
-class Figures(Part):
+class Figures(StrictModel):
     """The rules in figures."""
 
     answer_slack_ms: Milliseconds = 60.0  # past the client's limit, for loopback and the client's own loop
@@ -182,9 +182,9 @@
     handover_ms: Milliseconds = 500.0  # the same after SIGTERM
 
 
-class Day(Part):
+class Day(StrictModel):
     name: Name
-    length_s: Some
+    length_s: PositiveFloat
     tail_s: Seconds = 12.0  # at most, until all is answered
     seed: int = 1
     gateways: Annotated[int, Field(ge=1)] = 2
@@ -211,4 +211,4 @@
     back_cold: bool = True
     rules: Figures = Figures()
     troubles: list[Trouble] = []
-    bytes_per_tok: Some = 4.0
+    bytes_per_tok: PositiveFloat = 4.0
--- a/stackpitch/rehearse/dayvocabulary.py
+++ b/stackpitch/rehearse/dayvocabulary.py
@@ -4,13 +4,13 @@
 
 from pydantic import Field
 
-from stackpitch.settings.model import Name, Part
+from stackpitch.settings.model import Name, StrictModel
 
 Share = Annotated[float, Field(ge=0, le=1)]
 Which = Literal["old", "new"]
 
 
-class Vocabularies(Part):
+class Vocabularies(StrictModel):
     """Two tokenizer.json files are made from the day's seed, and sampling profiles for products and customers. Engines begin
     on the old one. Shares are of the share before."""
 
--- a/stackpitch/rehearse/dayweights.py
+++ b/stackpitch/rehearse/dayweights.py
@@ -9,22 +9,22 @@
 
 from stackpitch.duties.weights.wanted import Label, Rate
 from stackpitch.rehearse.dayvocabulary import Which
-from stackpitch.settings.model import Part
+from stackpitch.settings.model import StrictModel
 
 Seconds = Annotated[float, Field(ge=0)]
 
 
-class SiteOfDay(Part):
+class SiteOfDay(StrictModel):
     bytes_per_s: Rate
     gateways: Annotated[list[Annotated[int, Field(ge=0)]], Field(min_length=1)]
 
 
-class LinkOfDay(Part):
+class LinkOfDay(StrictModel):
     bytes_per_s: Rate
     sites: Annotated[list[Label], Field(min_length=1)]
 
 
-class ModelOfDay(Part):
+class ModelOfDay(StrictModel):
     """Its bytes are drawn from the seed. `next_at_s`: another version is wanted from then on."""
 
     size: Annotated[int, Field(ge=1, le=1 << 28)]
@@ -50,7 +50,7 @@
         return "2" if self.next_at_s is not None and at >= self.next_at_s else "1"
 
 
-class LinkEdit(Part):
+class LinkEdit(StrictModel):
     """A shared link's capacity from then on."""
 
     at_s: Seconds
@@ -58,7 +58,7 @@
     bytes_per_s: Rate
 
 
-class Weights(Part):
+class Weights(StrictModel):
     """`burst_ms`: what a link may carry in any second beyond its capacity, as time at that capacity. `place_s`: what has
     been wanted for so long at the day's end is in place where nothing was in its way."""
 
--- a/stackpitch/rehearse/director/calls.py
+++ b/stackpitch/rehearse/director/calls.py
@@ -1,6 +1,6 @@
 """Calls to control and admin ports, and the wait for a process to listen."""
 
-from stackpitch.exchange import asked
+from stackpitch.exchange import request_once
 from stackpitch.loop import MS, SECOND, ConnectFailed, Coro, World
 from stackpitch.rehearse.director.places import HOST, Net, Post, Seat, Source
 from stackpitch.rehearse.director.stage import Stage
@@ -9,10 +9,10 @@
 
 def call(
     world: World, address: tuple[str, int], target: str, body: bytes, method: str = "POST"
-) -> Coro[http.ResponseReader | None]:
+) -> Coro[http.ResponseParser | None]:
     """The whole answer, its body in `pieces`; None if none came."""
     request = http.request(method, target, "director", body, [("connection", "close")])
-    return (yield from asked(world, address, 2 * SECOND, request, 1 << 22))
+    return (yield from request_once(world, address, 2 * SECOND, request, 1 << 22))
 
 
 def reachable(stage: Stage, one: Seat | Post | Net | Source) -> Coro[None]:
--- a/stackpitch/rehearse/engine/control.py
+++ b/stackpitch/rehearse/engine/control.py
@@ -44,7 +44,7 @@
             group.spawn(self.one_control(stream), "control")
 
     def one_control(self, stream: Stream) -> Coro[None]:
-        reader = http.RequestReader(8192, 8192)
+        reader = http.RequestParser(8192, 8192)
         try:
             while not reader.complete:
                 data = yield from stream.recv()
--- a/stackpitch/rehearse/engine/door.py
+++ b/stackpitch/rehearse/engine/door.py
@@ -33,7 +33,7 @@
         ours: list[str] = []  # states read over this connection
         try:
             while True:
-                reader = http.RequestReader(65536, 64 << 20)
+                reader = http.RequestParser(65536, 64 << 20)
                 while not reader.complete:
                     data = yield from stream.recv()
                     if not data:
@@ -48,10 +48,10 @@
             for state in ours:
                 self.machine.free(state, "closed")
 
-    def answer(self, stream: Stream, reader: http.RequestReader, ours: list[str]) -> Coro[bool]:
+    def answer(self, stream: Stream, reader: http.RequestParser, ours: list[str]) -> Coro[bool]:
         machine = self.machine
         path = reader.path
-        if path in engine.GENERATE:
+        if path in engine.GENERATE_PATHS:
             return (yield from self.legs.leg(stream, reader, ours))
         if path.startswith("/v1/state/fetch/"):
             yield from self.legs.transfer.served(
--- a/stackpitch/rehearse/engine/legs.py
+++ b/stackpitch/rehearse/engine/legs.py
@@ -19,7 +19,7 @@
         self.machine = machine
         self.transfer = Transfer(machine)
 
-    def leg(self, stream: Stream, reader: http.RequestReader, ours: list[str]) -> Coro[bool]:
+    def leg(self, stream: Stream, reader: http.RequestParser, ours: list[str]) -> Coro[bool]:
         machine = self.machine
         now = machine.world.now()
         fields = msgspec.json.decode(reader.body())
--- a/stackpitch/rehearse/engine/transfer.py
+++ b/stackpitch/rehearse/engine/transfer.py
@@ -26,7 +26,7 @@
                     stream.write(
                         http.request("GET", target, "reader", b"", [("x-cell", str(machine.set.cell))])
                     )
-                    reader = http.ResponseReader(8192, 8192)
+                    reader = http.ResponseParser(8192, 8192)
                     while not reader.complete:
                         data = yield from stream.recv()
                         if not data:
--- a/stackpitch/rehearse/network/control.py
+++ b/stackpitch/rehearse/network/control.py
@@ -23,7 +23,7 @@
             group.spawn(self.one(stream), "control")
 
     def one(self, stream: Stream) -> Coro[None]:
-        reader = http.RequestReader(8192, 1 << 20)
+        reader = http.RequestParser(8192, 1 << 20)
         try:
             while not reader.complete:
                 data = yield from stream.recv()
--- a/stackpitch/rehearse/network/passing.py
+++ b/stackpitch/rehearse/network/passing.py
@@ -54,7 +54,7 @@
         """One call from a caller's connection; each connection carries one, but for pieces of weights."""
         try:
             with self.world.limit(self.patience) as scope:
-                reader = http.RequestReader(MAX_HEAD, MAX_BODY)
+                reader = http.RequestParser(MAX_HEAD, MAX_BODY)
                 while not reader.complete:
                     data = yield from stream.recv()
                     if not data:
@@ -148,7 +148,7 @@
                     if fate.half:
                         yield from stream.drain()
                         stream.finish()
-                    reader, raw, body = http.ResponseReader(MAX_HEAD, MAX_BODY), b"", b""
+                    reader, raw, body = http.ResponseParser(MAX_HEAD, MAX_BODY), b"", b""
                     while not reader.complete:
                         data = yield from stream.recv()
                         if not data:
--- a/stackpitch/rehearse/network/pieces.py
+++ b/stackpitch/rehearse/network/pieces.py
@@ -33,14 +33,14 @@
         self.world, self.set, self.recorder, self.weather = world, settings, recorder, weather
         self.arrives, self.numbers = arrives, numbers
 
-    def serve(self, link: Link, stream: Stream, first: http.RequestReader) -> Coro[None]:
+    def serve(self, link: Link, stream: Stream, first: http.RequestParser) -> Coro[None]:
         """Raises Lost, http.BadMessage."""
-        reader: http.RequestReader | None = first
+        reader: http.RequestParser | None = first
         while reader is not None and (yield from self.one(link, stream, reader)):
             reader = yield from self.next(stream)
 
-    def next(self, stream: Stream) -> Coro[http.RequestReader | None]:
-        reader = http.RequestReader(MOST_HEAD, 0)
+    def next(self, stream: Stream) -> Coro[http.RequestParser | None]:
+        reader = http.RequestParser(MOST_HEAD, 0)
         with self.world.limit(int(self.set.patience_ms * MS)):
             while not reader.complete:
                 data = yield from stream.recv()
@@ -50,7 +50,7 @@
             return reader
         return None
 
-    def one(self, link: Link, stream: Stream, reader: http.RequestReader) -> Coro[bool]:
+    def one(self, link: Link, stream: Stream, reader: http.RequestParser) -> Coro[bool]:
         """Whether the connection can be kept."""
         number, fate = next(self.numbers), self.weather.fate((link.sender, link.to))
         if not (yield from self.arrives((link.sender, link.to), fate)):
@@ -73,7 +73,7 @@
                 )
             )
             answer, asked = (
-                http.ResponseReader(MOST_HEAD, MOST_BODY),
+                http.ResponseParser(MOST_HEAD, MOST_BODY),
                 RANGE.match(reader.headers.get("range", "")),
             )
             first = int(asked[1]) if asked is not None else 0
@@ -101,7 +101,7 @@
                         first += size
                     stream.write(data)
                     yield from stream.drain(PART)
-            return not scope.expired and reader.keep_alive and not reader.extra
+            return not scope.expired and reader.keep_alive and not reader.extra_bytes
         finally:
             giver.close()
 
--- a/stackpitch/rehearse/origin/run.py
+++ b/stackpitch/rehearse/origin/run.py
@@ -36,7 +36,7 @@
             group.spawn(one((yield from listener.accept())), "control")
 
     def one(stream: Stream) -> Coro[None]:
-        reader = http.RequestReader(8192, 1 << 16)
+        reader = http.RequestParser(8192, 1 << 16)
         try:
             while not reader.complete:
                 data = yield from stream.recv()
--- a/stackpitch/rehearse/origin/serving.py
+++ b/stackpitch/rehearse/origin/serving.py
@@ -54,13 +54,17 @@
         try:
             kept = True
             while kept:
-                request = http.RequestReader(16 * 1024, 0)
+                request = http.RequestParser(16 * 1024, 0)
                 while not request.complete:
                     data = yield from stream.recv()
                     if not data:
                         return
                     request.feed(data)
-                kept = (yield from self._answer(stream, request)) and request.keep_alive and not request.extra
+                kept = (
+                    (yield from self._answer(stream, request))
+                    and request.keep_alive
+                    and not request.extra_bytes
+                )
         except (Lost, http.BadMessage):
             pass
         finally:
@@ -86,7 +90,7 @@
         stream.write(http.response(status, b"{}", headers))
         return True
 
-    def _answer(self, stream: Stream, request: http.RequestReader) -> Coro[bool]:
+    def _answer(self, stream: Stream, request: http.RequestParser) -> Coro[bool]:
         self.count += 1
         whole, asked = self.files.get(request.path), RANGE.fullmatch(request.headers.get("range", ""))
         found = FROM.search(request.headers.get("user-agent", ""))
--- a/stackpitch/rehearse/stopping.py
+++ b/stackpitch/rehearse/stopping.py
@@ -15,18 +15,18 @@
 def stop_at(kind: str, nth: int, marked: bytes = b"") -> None:
     """Once, at the nth call of a kind to another gateway, of those that hold `marked`: connected, looked, and not a byte of
     it sent yet."""
-    answered, count = exchange.answered, [0]
+    answered, count = exchange.round_trip, [0]
 
     def late(
         stream: Stream, request: bytes, max_head: int, max_body: int
-    ) -> Coro[http.ResponseReader | None]:
+    ) -> Coro[http.ResponseParser | None]:
         if b'"kind":"%b"' % kind.encode() in request and marked in request:
             count[0] += 1
             if count[0] == nth:
                 os.kill(os.getpid(), signal.SIGSTOP)
         return (yield from answered(stream, request, max_head, max_body))
 
-    exchange.answered = late
+    exchange.round_trip = late
 
 
 STOPS: dict[str, Callable[[], None]] = {
--- a/stackpitch/settings/__init__.py
+++ b/stackpitch/settings/__init__.py
@@ -1,6 +1,16 @@
 """The settings of all parts: Jsonnet templates, one schema, complaints that name file, field and what is allowed."""
 
 from stackpitch.settings.load import BadSettings, evaluate, read, schema
-from stackpitch.settings.model import LIVE, Fleet, Listed, Settings, Weights
+from stackpitch.settings.model import LIVE_SETTINGS, Fleet, Listed, Settings, Weights
 
-__all__ = ["LIVE", "BadSettings", "Fleet", "Listed", "Settings", "Weights", "evaluate", "read", "schema"]
+__all__ = [
+    "LIVE_SETTINGS",
+    "BadSettings",
+    "Fleet",
+    "Listed",
+    "Settings",
+    "Weights",
+    "evaluate",
+    "read",
+    "schema",
+]
--- a/stackpitch/settings/load.py
+++ b/stackpitch/settings/load.py
@@ -8,7 +8,7 @@
 import rjsonnet
 from pydantic import BaseModel, ValidationError
 
-from stackpitch.settings.model import LIVE, Settings
+from stackpitch.settings.model import LIVE_SETTINGS, Settings
 
 M = TypeVar("M", bound=BaseModel)
 
@@ -76,5 +76,5 @@
     tree = model.model_json_schema()
     if model is Settings:
         for name, field in tree["properties"].items():
-            field["x-live"] = name in LIVE
+            field["x-live"] = name in LIVE_SETTINGS
     return tree
--- a/stackpitch/settings/model/__init__.py
+++ b/stackpitch/settings/model/__init__.py
@@ -1,15 +1,23 @@
 """The schema. Times are milliseconds here and whole tenths of one everywhere else; sizes are bytes or tokens."""
 
+from stackpitch.settings.model.base import (
+    Count,
+    HostPort,
+    Milliseconds,
+    Name,
+    Port,
+    PositiveFloat,
+    StrictModel,
+)
 from stackpitch.settings.model.duties import Duties, VocabularySettings, WeightsSettings
 from stackpitch.settings.model.fleet import Fleet, Listed, Membership, Weights
 from stackpitch.settings.model.module import Module, Peers
-from stackpitch.settings.model.parts import Count, HostPort, Milliseconds, Name, Part, Port, Some
+from stackpitch.settings.model.root import LIVE_SETTINGS, Settings
 from stackpitch.settings.model.rules import Hours, Rule, Where
 from stackpitch.settings.model.traffic import Admin, Customer, Door, Engines, Kind, Load, Logs, Product, Stop
-from stackpitch.settings.model.whole import LIVE, Settings
 
 __all__ = [
-    "LIVE",
+    "LIVE_SETTINGS",
     "Admin",
     "Count",
     "Customer",
@@ -27,14 +35,14 @@
     "Milliseconds",
     "Module",
     "Name",
-    "Part",
     "Peers",
     "Port",
+    "PositiveFloat",
     "Product",
     "Rule",
     "Settings",
-    "Some",
     "Stop",
+    "StrictModel",
     "VocabularySettings",
     "Weights",
     "WeightsSettings",
--- a/stackpitch/settings/model/parts.py
+++ b/stackpitch/settings/model/base.py
@@ -7,12 +7,12 @@
 
 Port = Annotated[int, Field(ge=0, le=65535)]
 Milliseconds = Annotated[float, Field(ge=0)]
-Some = Annotated[float, Field(gt=0)]
+PositiveFloat = Annotated[float, Field(gt=0)]
 Count = Annotated[int, Field(ge=1)]
 Name = Annotated[str, Field(min_length=1, max_length=80, pattern=r"^[A-Za-z0-9._-]+$")]
 
 
-class Part(BaseModel):
+class StrictModel(BaseModel):
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True, allow_inf_nan=False)
 
 
--- a/stackpitch/settings/model/duties.py
+++ b/stackpitch/settings/model/duties.py
@@ -4,10 +4,10 @@
 
 from pydantic import Field, model_validator
 
-from stackpitch.settings.model.parts import Count, Name, Part, Some
+from stackpitch.settings.model.base import Count, Name, PositiveFloat, StrictModel
 
 
-class WeightsSettings(Part):
+class WeightsSettings(StrictModel):
     """The duty `weights`: models to the sites."""
 
     wanted: Annotated[str, Field(min_length=1)]  # the wanted file; the same at every gateway
@@ -16,7 +16,7 @@
     ]  # where this gateway's site keeps its models; made if it is missing
 
 
-class VocabularySettings(Part):
+class VocabularySettings(StrictModel):
     """The duty `vocabulary`: what sampling parameters mean after a change of tokenizer."""
 
     vocabularies: Annotated[
@@ -26,10 +26,10 @@
     most_share: Annotated[float, Field(ge=0, le=1)] = (
         0.0  # of the revenue that may lose its meaning without a confirmation
     )
-    judge_ms: Some = 120000  # for judging, after which it is given up
+    judge_ms: PositiveFloat = 120000  # for judging, after which it is given up
 
 
-class Duties(Part):
+class Duties(StrictModel):
     """Off while `voters` is empty. All but `file` has to be the same at all gateways of the fleet."""
 
     fleet: str = ""  # its name, in every call: what comes from another fleet is dropped
@@ -43,8 +43,10 @@
     drift: Annotated[float, Field(ge=0, le=0.1)] = (
         0.01  # share that a clock may gain or lose against true time
     )
-    call_ms: Some = 250  # for a call between gateways, connecting included, after which it counts as lost
-    announce_ms: Some = 60000  # in which an owner tells each gateway once more that it is there
+    call_ms: PositiveFloat = (
+        250  # for a call between gateways, connecting included, after which it counts as lost
+    )
+    announce_ms: PositiveFloat = 60000  # in which an owner tells each gateway once more that it is there
     max_calls: Count = 64  # under way at once from this gateway; others wait
     weights: WeightsSettings | None = None  # with `weights` among the names
     vocabulary: VocabularySettings | None = None  # with `vocabulary` among the names
--- a/stackpitch/settings/model/fleet.py
+++ b/stackpitch/settings/model/fleet.py
@@ -4,10 +4,10 @@
 
 from pydantic import Field, RootModel
 
-from stackpitch.settings.model.parts import Milliseconds, Name, Part, Some
+from stackpitch.settings.model.base import Milliseconds, Name, PositiveFloat, StrictModel
 
 
-class Membership(Part):
+class Membership(StrictModel):
     """How lists of servers come in and into force."""
 
     watch: bool = (
@@ -15,8 +15,8 @@
     )
     settle_ms: Milliseconds = 100  # without a change, before files are read
     settle_most_ms: Milliseconds = 3000  # after which they are read though they still change
-    poll_ms: Some = 1000
-    check_ms: Some = 10000  # for a check, after which it is given up
+    poll_ms: PositiveFloat = 1000
+    check_ms: PositiveFloat = 10000  # for a check, after which it is given up
     step_share: Annotated[float, Field(gt=0, le=1)] = (
         0.34  # of a role's ready servers that may be missing at once
     )
@@ -25,11 +25,11 @@
     flap_count: Annotated[int, Field(ge=3)] = (
         6  # comings and goings of a server in flap_window_ms that keep it out
     )
-    flap_window_ms: Some = 30000
+    flap_window_ms: PositiveFloat = 30000
     flap_calm_ms: Milliseconds = 20000  # without one, before it is taken back
 
 
-class Listed(Part):
+class Listed(StrictModel):
     """One server of the fleet's file."""
 
     name: Name
@@ -39,14 +39,14 @@
     zone: str = ""
     cell: int = 0
     state: Literal["ready", "draining"] = "ready"
-    weight: Some = 1.0
+    weight: PositiveFloat = 1.0
     started_unix_ms: Annotated[int, Field(ge=0)] | None = None  # of its latest start; left out: long ago
     vocabulary: Annotated[str, Field(pattern=r"^([0-9a-f]{32})?$")] = (
         ""  # digest of its tokenizer's (docs/duties.md)
     )
 
 
-class Fleet(Part):
+class Fleet(StrictModel):
     """`digest`, if it is there, is that of the servers, as `stackpitch fleet check` prints it: a list is then taken only
     when it is whole."""
 
@@ -55,5 +55,5 @@
     servers: list[Listed]
 
 
-class Weights(RootModel[dict[Name, Some]]):
+class Weights(RootModel[dict[Name, PositiveFloat]]):
     """Weight by server name."""
--- a/stackpitch/settings/model/whole.py
+++ b/stackpitch/settings/model/root.py
@@ -4,18 +4,20 @@
 
 from pydantic import Field, model_validator
 
+from stackpitch.settings.model.base import Name, StrictModel
 from stackpitch.settings.model.duties import Duties
 from stackpitch.settings.model.fleet import Membership
 from stackpitch.settings.model.module import Module, Peers
-from stackpitch.settings.model.parts import Name, Part
 from stackpitch.settings.model.rules import Rule
 from stackpitch.settings.model.traffic import Admin, Customer, Door, Engines, Kind, Load, Logs, Product, Stop
 
 # Settings that a running gateway takes over; all others need a restart, and are told as such.
-LIVE = frozenset({"products", "customers", "rules", "utc_offset_min", "weights", "statements", "membership"})
+LIVE_SETTINGS = frozenset(
+    {"products", "customers", "rules", "utc_offset_min", "weights", "statements", "membership"}
+)
 
 
-class Settings(Part):
+class Settings(StrictModel):
     name: Name = "gateway"
     seed: int = 1
     roster: str = Field(min_length=1)  # file of the fleet
--- a/stackpitch/settings/model/traffic.py
+++ b/stackpitch/settings/model/traffic.py
@@ -4,10 +4,10 @@
 
 from pydantic import Field
 
-from stackpitch.settings.model.parts import Count, Milliseconds, Part, Port, Some
+from stackpitch.settings.model.base import Count, Milliseconds, Port, PositiveFloat, StrictModel
 
 
-class Door(Part):
+class Door(StrictModel):
     """Where clients come in, and what is taken from them at most."""
 
     host: str = "127.0.0.1"
@@ -21,54 +21,54 @@
     idle_ms: Milliseconds = 75000  # a kept connection without a request
     stall_ms: Milliseconds = 10000  # a client that takes nothing of what waits for it this long is cut off
     buffer: Count = 256 * 1024  # bytes that wait for a slow client, after which its engine is read no further
-    bytes_per_tok: Some = 4.0  # by which prompt tokens are reckoned from prompt bytes
+    bytes_per_tok: PositiveFloat = 4.0  # by which prompt tokens are reckoned from prompt bytes
     answer_margin_ms: Milliseconds = 50  # the module is told that clients give up so much earlier
     default_limit_tok: Count = 512  # output limit where the client states none
 
 
-class Admin(Part):
+class Admin(StrictModel):
     host: str = "127.0.0.1"
     port: Port = 0
 
 
-class Engines(Part):
+class Engines(StrictModel):
     """Connections to engines."""
 
-    connect_ms: Some = 250
+    connect_ms: PositiveFloat = 250
     pool: Count = 256  # connections to one engine; a leg that finds none free in connect_ms is not sent
-    idle_ms: Some = 15000  # shorter than the engines' own, so that they seldom close first
-    gap_ms: Some = 5000  # a stream without a byte for this long has broken
-    call_ms: Some = 400  # for a release, hold, cancel or probe
+    idle_ms: PositiveFloat = 15000  # shorter than the engines' own, so that they seldom close first
+    gap_ms: PositiveFloat = 5000  # a stream without a byte for this long has broken
+    call_ms: PositiveFloat = 400  # for a release, hold, cancel or probe
     release_tries: Count = 3
     max_head: Count = 32 * 1024
     max_answer: Count = 64 * 1024 * 1024
 
 
-class Product(Part):
+class Product(StrictModel):
     effect: Literal["idempotent", "deduplicated", "side-effecting"]
     scope: Literal["all", "zone", "cell"] = "all"
     memory_ms: Milliseconds = 0
-    slo_ms: Some
+    slo_ms: PositiveFloat
     slo_ms_per_ktok: Milliseconds = 0
     token_gap_ms: Milliseconds = 60
-    time_limit_ms: Some
+    time_limit_ms: PositiveFloat
     revenue: Annotated[float, Field(ge=0)] = 1.0
     late_revenue: Annotated[float, Field(ge=0)] = 0.0
     models: list[str] = []  # model names that mean this product where no header says
 
 
-class Customer(Part):
+class Customer(StrictModel):
     share: Annotated[float, Field(ge=0)] = 0.0
     quota_per_s: Annotated[float, Field(ge=0)] = 0.0
     keys: list[str] = []
 
 
-class Kind(Part):
+class Kind(StrictModel):
     role: Literal["reader", "writer", "mixed"]
     memory_tok: Count
 
 
-class Load(Part):
+class Load(StrictModel):
     """Which fields of a load report mean what; empty: not told."""
 
     held_share: str = "named_metrics.kv_cache_usage_perc"
@@ -76,12 +76,12 @@
     queued: str = "named_metrics.num_requests_waiting"
 
 
-class Stop(Part):
+class Stop(StrictModel):
     finish_ms: Milliseconds = 30000  # what is held after this is answered at once
 
 
-class Logs(Part):
+class Logs(StrictModel):
     level: Literal["debug", "info", "warning", "error"] = "info"
     requests: Literal["debug", "info"] = "debug"  # the level of a generation's line
     form: Literal["json", "console"] = "json"
-    hog_ms: Some = 50  # a step of one task that holds up the loop for longer is logged
+    hog_ms: PositiveFloat = 50  # a step of one task that holds up the loop for longer is logged
--- a/stackpitch/wire/collect.py
+++ b/stackpitch/wire/collect.py
@@ -5,14 +5,14 @@
 import msgspec
 
 from stackpitch.wire.decoding import decode
-from stackpitch.wire.sse import Events
+from stackpitch.wire.sse import EventParser
 
 
 class Collector:
     """Fed the body of a stream, gives the whole answer's body. Memory: the answer's text."""
 
     def __init__(self, chat: bool) -> None:
-        self.chat, self.events = chat, Events()
+        self.chat, self.events = chat, EventParser()
         self.first: dict[str, Any] = {}
         self.parts: dict[int, list[str]] = {}
         self.reasons: dict[int, str | None] = {}
--- a/stackpitch/wire/engine.py
+++ b/stackpitch/wire/engine.py
@@ -11,8 +11,8 @@
 WEIGHTS = "/v1/weights"
 STATE_HEADER = "x-kv-state"  # of a writer's answer: "fetched" if it took the state that the leg named
 VOCABULARY = "x-vocabulary"  # of a leg: the digest of the one that its token ids are written for
-GENERATE = ("/v1/chat/completions", "/v1/completions")
-Part = Literal["read", "write", "whole"]
+GENERATE_PATHS = ("/v1/chat/completions", "/v1/completions")
+LegKind = Literal["read", "write", "whole"]
 
 
 class Transfer(msgspec.Struct, omit_defaults=True):
@@ -36,8 +36,8 @@
     prompt_tokens_details: Any = None  # read whole whatever stands there: the answer itself is well
 
     @property
-    def kept(self) -> object:
-        """What is told of tokens found kept, as told (`plausible.Doubts.kept`)."""
+    def cached_tok(self) -> object:
+        """What is told of tokens found kept, as told (`plausible.PlausibilityFilter.cached_tok`)."""
         details = self.prompt_tokens_details
         return (
             details.get("cached_tokens", 0)
@@ -47,9 +47,9 @@
             else details
         )
 
-    def kept_of(self, prompt_tok: int) -> object:
+    def cached_tok_within(self, prompt_tok: int) -> object:
         """Where the prompt's length is our own reckoning from bytes: what fits the engine's own is no cause for doubt."""
-        found = self.kept
+        found = self.cached_tok
         return min(found, prompt_tok) if type(found) is int and 0 <= found <= self.prompt_tokens else found
 
 
@@ -126,7 +126,7 @@
     return http.request("POST", target, host, msgspec.json.encode(body), headers)
 
 
-def read_answer(body: bytes) -> ReadAnswer:
+def parse_read_answer(body: bytes) -> ReadAnswer:
     """Raises ValueError on a body that is no reader's answer."""
     try:
         return decode(body, type=ReadAnswer)
@@ -134,7 +134,7 @@
         raise ValueError(str(wrong)) from None
 
 
-def refusal(status: int, body: bytes) -> str | None:
+def refusal_code(status: int, body: bytes) -> str | None:
     """The code by which an answer proves that the leg never ran; None if it proves nothing."""
     if status != 503:
         return None
--- a/stackpitch/wire/http.py
+++ b/stackpitch/wire/http.py
@@ -68,18 +68,18 @@
         self.headers: dict[str, str] = {}
         self.trailers: dict[str, str] = {}
         self.pieces: list[bytes] = []  # of the body, from the last feed (responses) or from all (requests)
-        self.head_done = self.complete = self.extra = self.keep_alive = False
+        self.head_done = self.complete = self.extra_bytes = self.keep_alive = False
         self.seen = self.body_size = self.fields = self.field_bytes = 0
         self.beside = 0  # bytes since some of the body, or a whole chunk, came
         self.begun = False
 
     def on_message_begin(self) -> None:
         if self.begun:
-            self.extra = True
+            self.extra_bytes = True
         self.begun = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.extra:
+        if self.extra_bytes:
             return
         self.fields += 1
         if self.fields > MAX_FIELDS:
@@ -92,7 +92,7 @@
         into[key] = f"{into[key]}, {text}" if key in into else text
 
     def on_body(self, body: bytes) -> None:
-        if self.extra:
+        if self.extra_bytes:
             return
         self.body_size += len(body)
         self.beside = 0
@@ -101,7 +101,7 @@
         self.pieces.append(body)
 
     def on_message_complete(self) -> None:
-        if not self.extra:
+        if not self.extra_bytes:
             self.complete = True
 
     def _declared(self) -> None:
@@ -116,11 +116,11 @@
             raise cause from None
         if not self.complete:
             raise BadMessage(400, f"not HTTP/1.1: {wrong}") from None
-        self.extra = True  # the message was whole before what is wrong began
+        self.extra_bytes = True  # the message was whole before what is wrong began
 
     def _feed(self, parser: httptools.HttpRequestParser | httptools.HttpResponseParser, data: bytes) -> None:
         if self.complete:
-            self.extra = self.extra or bool(data)
+            self.extra_bytes = self.extra_bytes or bool(data)
             return
         self.beside += len(data)
         try:
@@ -138,7 +138,7 @@
             raise BadMessage(431, f"over {self.max_head} bytes that are neither head nor body")
 
 
-class RequestReader(_Reader):
+class RequestParser(_Reader):
     """Reads one request. `body()` is whole once `complete`."""
 
     def __init__(self, max_head: int, max_body: int) -> None:
@@ -147,13 +147,13 @@
         self.parser = httptools.HttpRequestParser(self)
 
     def on_url(self, url: bytes) -> None:
-        if not self.extra:
+        if not self.extra_bytes:
             self.url += url
             if len(self.url) > MAX_URL:
                 raise BadMessage(414, f"request target is over {MAX_URL} bytes")
 
     def on_headers_complete(self) -> None:
-        if self.extra:
+        if self.extra_bytes:
             return
         self.head_done = True
         self.method = self.parser.get_method().decode()
@@ -175,7 +175,7 @@
         return self.pieces[0] if len(self.pieces) == 1 else b"".join(self.pieces)
 
 
-class ResponseReader(_Reader):
+class ResponseParser(_Reader):
     """Reads one response; after each `feed`, `pieces` holds the body's part of that feed alone.
 
     `aligned` before and after a feed means that it held whole chunks, which may be passed on as they came.
@@ -184,18 +184,20 @@
     def __init__(self, max_head: int, max_body: int) -> None:
         super().__init__(max_head, max_body)
         self.status = self.open_chunks = 0
-        self.aligned = False  # the last feed ended between two chunks
+        self.at_chunk_boundary = False  # the last feed ended between two chunks
         self.parser = httptools.HttpResponseParser(self)
 
     def on_message_complete(self) -> None:
-        if self.begun and not self.head_done and not self.extra:  # a 1xx: the answer itself is still to come
+        if (
+            self.begun and not self.head_done and not self.extra_bytes
+        ):  # a 1xx: the answer itself is still to come
             self.begun = False
             self.headers.clear()
         else:
             super().on_message_complete()
 
     def on_headers_complete(self) -> None:
-        if self.extra:
+        if self.extra_bytes:
             return
         self.status = self.parser.get_status_code()
         if self.status // 100 == 1:
@@ -222,7 +224,7 @@
             self.beside += len(data)
             try:
                 self.parser.feed_data(data)  # the way of nearly all feeds, so without a further call
-                self.aligned = not self.open_chunks and data.endswith(b"\r\n")
+                self.at_chunk_boundary = not self.open_chunks and data.endswith(b"\r\n")
                 if self.beside > self.max_head and not self.complete:
                     raise BadMessage(502, f"over {self.max_head} bytes that are neither head nor body")
                 return
@@ -230,7 +232,7 @@
                 self._failed(wrong)
                 return
         self._feed(self.parser, data)
-        self.aligned = not self.open_chunks and data.endswith(b"\r\n")
+        self.at_chunk_boundary = not self.open_chunks and data.endswith(b"\r\n")
 
 
 def head(status: int, headers: Headers) -> bytes:
--- a/stackpitch/wire/platform.py
+++ b/stackpitch/wire/platform.py
@@ -11,12 +11,12 @@
 import msgspec
 
 from stackpitch.interface import Outcome, Report, Role
-from stackpitch.plausible import Doubts
+from stackpitch.plausible import PlausibilityFilter
 from stackpitch.wire.decoding import decode
 from stackpitch.wire.http import BadMessage
 
-DEADLINE = "req-deadline-ms"  # how long whoever sends will wait
-READY, WELL, LIST, LEASES = "/-/ready", "/-/healthy", "/api/targets", "/kv/leases/"
+DEADLINE_HEADER = "req-deadline-ms"  # how long whoever sends will wait
+READY_PATH, HEALTHY_PATH, TARGETS_PATH, LEASES_PATH = "/-/ready", "/-/healthy", "/api/targets", "/kv/leases/"
 ID = re.compile(r"[0-9a-f]{16}")
 NAME = re.compile(r"[!-~]{1,100}")
 MOST_MS, MOST_TOK = 3_600_000, 10_000_000
@@ -25,7 +25,7 @@
 LOAD_FIELDS = {"x0": 0, "utilization": 1, "util": 1, "backlog": 2, "queue": 2}
 
 
-class Facts(msgspec.Struct, frozen=True):
+class RequestHead(msgspec.Struct, frozen=True):
     """What a request's head says. Times in ms, lengths in tokens."""
 
     name: str
@@ -54,7 +54,7 @@
     return found
 
 
-def facts(headers: Mapping[str, str]) -> Facts:
+def parse_request_head(headers: Mapping[str, str]) -> RequestHead:
     """From a head's fields, names in lower case. Raises BadMessage."""
     name = headers.get("req-id", "")
     if not ID.fullmatch(name):
@@ -62,7 +62,7 @@
     product = _named(headers, "req-kind")
     if product is None:
         raise BadMessage(400, "req-kind is missing")
-    limit = _whole(DEADLINE, headers.get(DEADLINE, ""), MOST_MS)
+    limit = _whole(DEADLINE_HEADER, headers.get(DEADLINE_HEADER, ""), MOST_MS)
     extra: dict[str, str] = {}
     for part in filter(None, (one.strip() for one in headers.get("req-extra", "").split(","))):
         key, equals, value = part.partition("=")
@@ -77,7 +77,7 @@
         for key in ("prefix_len", "prompt_len", "max_out")
     ]
     asked = headers.get("req-retry", "0")
-    return Facts(
+    return RequestHead(
         name,
         product,
         _named(headers, "req-owner"),
@@ -92,7 +92,7 @@
     )
 
 
-def answered(role: Role, status: int, declined: bool, whole: bool) -> tuple[Outcome, bool]:
+def classify_answer(role: Role, status: int, declined: bool, whole: bool) -> tuple[Outcome, bool]:
     """Outcome of an answer that came whole, and whether there was no state to fetch. `whole`: a good body of its kind.
 
     Only what carries the mark of a refusal never ran.
@@ -108,8 +108,9 @@
     cached_tokens: Any = 0  # read whole whatever stands there: the read itself is well
 
 
-def read_kept(body: bytes) -> object | None:
-    """What a reader tells of tokens found kept, as told (`plausible.Doubts.kept`); None if its answer is none."""
+def parse_cached_tokens(body: bytes) -> object | None:
+    """The cached token count that a reader reports, unchecked (see `PlausibilityFilter.cached_tok`); None for a malformed
+    body."""
     try:
         found = decode(body, type=_Read).cached_tokens
     except msgspec.DecodeError:
@@ -117,7 +118,7 @@
     return "" if found is None else found
 
 
-def report(text: str, doubts: Doubts) -> Report | None:
+def parse_load_report(text: str, plausibility: PlausibilityFilter) -> Report | None:
     """A load line, `name=value` set apart by commas; None if it says nothing that is known. Raises ValueError if nothing
     in it can be used."""
     told: list[str | None] = [None, None, None]
@@ -130,13 +131,13 @@
             raise ValueError(f"{part[:30]!r} is no name=value")
     if told == [None, None, None]:
         return None
-    found = doubts.report(*told)
+    found = plausibility.report(*told)
     if found == Report():
         raise ValueError(f"nothing in {text[:60]!r} can be")
     return found
 
 
-class Events:
+class EventParser:
     """Takes a stream's body piece by piece and gives whole events as they came. Bounded by `most` bytes an event, and by
     so many `parts`, events and comments, where it was said how long the answer may be."""
 
@@ -193,7 +194,7 @@
     up_since_ms: int = 0
 
 
-class Listed(msgspec.Struct):
+class ServerList(msgspec.Struct):
     """A list, whole or of what changed. `bad`: members that can't be read, by id as far as it can, and why."""
 
     revision: int = 0
@@ -213,13 +214,13 @@
     phase: str = ""
 
 
-def listed(body: bytes) -> Listed:
+def parse_server_list(body: bytes) -> ServerList:
     """One member that can't be read costs that member alone. Raises ValueError where the list itself can't be."""
     try:
         unread = decode(body, type=_Unread)
     except msgspec.DecodeError as wrong:
         raise ValueError(str(wrong)) from None
-    found = Listed(unread.revision, unread.complete)
+    found = ServerList(unread.revision, unread.complete)
     for raw in unread.members:
         try:
             found.members.append(decode(raw, type=Member))
--- a/stackpitch/wire/sse.py
+++ b/stackpitch/wire/sse.py
@@ -7,7 +7,7 @@
     return b"data: " + data + b"\n\n"
 
 
-class Events:
+class EventParser:
     """Takes the body piece by piece and gives the data of each whole event. Bounded by `most` bytes."""
 
     def __init__(self, most: int = 1 << 20) -> None:
--- a/tests/crossing_clients.py
+++ b/tests/crossing_clients.py
@@ -76,7 +76,7 @@
     def answer(self, limit: float = PATIENCE, until: Callable[[bytes], bool] | None = None) -> Answer:
         """The next answer; part of it if `until` says of the body that it is enough, or if the connection
         ended."""
-        reader, body, ending = http.ResponseReader(1 << 16, 1 << 26), b"", "open"
+        reader, body, ending = http.ResponseParser(1 << 16, 1 << 26), b"", "open"
         end = time.monotonic() + limit
         while not reader.complete and not (until is not None and until(body)):
             self.socket.settimeout(max(0.01, end - time.monotonic()))
--- a/tests/crossing_discovery.py
+++ b/tests/crossing_discovery.py
@@ -79,7 +79,7 @@
     def _connection(self, stream: socket.socket, connection: int) -> None:
         with suppress(OSError):
             for number in itertools.count(1):
-                reader = http.RequestReader(4096, 0)
+                reader = http.RequestParser(4096, 0)
                 while not reader.complete:
                     if not (data := stream.recv(4096)):
                         return
--- a/tests/crossing_workers.py
+++ b/tests/crossing_workers.py
@@ -152,7 +152,7 @@
     def _connection(self, stream: socket.socket, number: int) -> None:
         with suppress(OSError):
             while True:
-                reader, attempt = http.RequestReader(1 << 16, 1 << 20), None
+                reader, attempt = http.RequestParser(1 << 16, 1 << 20), None
                 head, told = b"", False
                 while not reader.complete:
                     data = stream.recv(65536)
--- a/tests/platform_discovery.py
+++ b/tests/platform_discovery.py
@@ -29,7 +29,7 @@
     def told(self, stream: Stream, port: int) -> Coro[None]:
         try:
             while True:
-                reader = http.RequestReader(4096, 0)
+                reader = http.RequestParser(4096, 0)
                 while not reader.complete:
                     data = yield from stream.recv()
                     if not data:
--- a/tests/platform_process.py
+++ b/tests/platform_process.py
@@ -195,7 +195,7 @@
     def connection(self, stream: socket.socket) -> None:
         with stream, suppress(OSError):
             while True:
-                reader = http.RequestReader(1 << 16, 1 << 20)
+                reader = http.RequestParser(1 << 16, 1 << 20)
                 while not reader.complete:
                     if not (data := stream.recv(65536)):
                         return
--- a/tests/platform_script.py
+++ b/tests/platform_script.py
@@ -133,7 +133,7 @@
             if self.blind:
                 yield from self.stage.world.sleep(self.blind)
             while True:
-                reader = http.RequestReader(65536, 1 << 20)
+                reader = http.RequestParser(65536, 1 << 20)
                 came = [b"", 0, False]
                 while not reader.complete:
                     data = yield from stream.recv()
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -397,7 +397,7 @@
         self.host.hold(gen, next(one for one in self.host.roster.addresses if one.name == server))
 
     def take(self, client: Client) -> Coro[None]:
-        reader, events = http.ResponseReader(65536, 1 << 26), sse.Events()
+        reader, events = http.ResponseParser(65536, 1 << 26), sse.EventParser()
         try:
             while not reader.complete:
                 most, after = client.pace
@@ -419,7 +419,7 @@
             client.ended = self.world.now()
             with self.world.limit(100 * MS):
                 client.after = yield from client.stream.recv()
-            if reader.extra:  # it came with the end of the answer
+            if reader.extra_bytes:  # it came with the end of the answer
                 client.after = data[max(0, data.rfind(b"HTTP/1.1 ")) :]
         except (Lost, http.BadMessage) as wrong:
             client.why = str(wrong)
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -90,7 +90,7 @@
         ours: set[str] = set()
         try:
             while True:
-                reader = http.RequestReader(65536, 1 << 24)
+                reader = http.RequestParser(65536, 1 << 24)
                 while not reader.complete:
                     data = yield from stream.recv()
                     if not data:
@@ -104,7 +104,7 @@
             self.states -= ours
             stream.close()
 
-    def answer(self, stream: Stream, reader: http.RequestReader, ours: set[str]) -> Coro[bool]:
+    def answer(self, stream: Stream, reader: http.RequestParser, ours: set[str]) -> Coro[bool]:
         tree = msgspec.json.decode(reader.body()) if reader.body() else {}
         if reader.path == engine.HEALTH:
             self.probes += 1
@@ -466,7 +466,7 @@
         self.clients[name].reading = True
 
     def take(self, client: Client) -> Coro[None]:
-        reader, events, body = http.ResponseReader(65536, 1 << 26), sse.Events(), b""
+        reader, events, body = http.ResponseParser(65536, 1 << 26), sse.EventParser(), b""
         try:
             while not reader.complete:
                 while not client.reading:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -20,7 +20,7 @@
 from stackpitch.benchlink.codec import WireError
 from stackpitch.gateway.engines import Engines
 from stackpitch.interface import MS, SECOND, Report
-from stackpitch.plausible import NOISE, Doubts
+from stackpitch.plausible import SHARE_TOLERANCE, PlausibilityFilter
 from stackpitch.wire import engine, platform
 
 GONE = object()
@@ -242,8 +242,8 @@
         ("0.4", 0.4, None),
         (1.2, 1.0, "load_clipped"),
         (-0.1, 0.0, "load_clipped"),
-        (1 + NOISE, 1.0, "load_clipped"),
-        (1.01 + NOISE, None, "load_dropped"),
+        (1 + SHARE_TOLERANCE, 1.0, "load_clipped"),
+        (1.01 + SHARE_TOLERANCE, None, "load_dropped"),
         (-3, None, "load_dropped"),
         (1e300, None, "load_dropped"),
         (10**400, None, "load_dropped"),
@@ -256,9 +256,9 @@
     ],
 )
 def test_a_share_told(told: object, share: float | None, kind: str | None) -> None:
-    doubts = Doubts()
-    assert doubts.share(told) == share
-    assert {one: count for one, count in doubts.counts.items() if count} == ({kind: 1} if kind else {})
+    plausibility = PlausibilityFilter()
+    assert plausibility.share(told) == share
+    assert {one: count for one, count in plausibility.counts.items() if count} == ({kind: 1} if kind else {})
 
 
 @pytest.mark.parametrize(
@@ -282,30 +282,30 @@
     ],
 )
 def test_kept_tokens_told(told: object, kept: int, kind: str | None) -> None:
-    doubts = Doubts()
-    assert doubts.kept(told, 1000) == kept
-    assert {one: count for one, count in doubts.counts.items() if count} == ({kind: 1} if kind else {})
+    plausibility = PlausibilityFilter()
+    assert plausibility.cached_tok(told, 1000) == kept
+    assert {one: count for one, count in plausibility.counts.items() if count} == ({kind: 1} if kind else {})
 
 
 def test_kept_tokens_of_a_prompt_whose_length_is_not_told() -> None:
-    doubts = Doubts()
-    assert doubts.kept(7, 0) == 0 and not any(doubts.counts.values())
+    plausibility = PlausibilityFilter()
+    assert plausibility.cached_tok(7, 0) == 0 and not any(plausibility.counts.values())
 
 
 def test_the_log_hears_of_doubts_at_a_low_rate() -> None:
-    doubts, said = Doubts(), []
+    plausibility, said = PlausibilityFilter(), []
     for now in range(0, 60 * SECOND, 10 * MS):  # 6,000 of them
-        doubts.server = f"w{now}"
-        doubts.share(9)
-        said.append(doubts.due(now))
+        plausibility.server = f"w{now}"
+        plausibility.share(9)
+        said.append(plausibility.due_log_fields(now))
     lines = [one for one in said if one is not None]
     assert (
         len(lines) == 6
         and lines[0] == {"last": "w0", "load_dropped": 1}
         and lines[-1]["load_dropped"] == 5001
     )
-    assert doubts.due(10**9) == {"last": f"w{60 * SECOND - 10 * MS}", "load_dropped": 6000}
-    assert doubts.due(2 * 10**9) is None  # nothing came since
+    assert plausibility.due_log_fields(10**9) == {"last": f"w{60 * SECOND - 10 * MS}", "load_dropped": 6000}
+    assert plausibility.due_log_fields(2 * 10**9) is None  # nothing came since
 
 
 @pytest.mark.parametrize(
@@ -319,23 +319,23 @@
 def test_one_bad_figure_of_a_load_line_costs_itself_alone(
     text: str, found: tuple, kinds: dict[str, int]
 ) -> None:
-    doubts = Doubts()
-    assert platform.report(text, doubts) == Report(*found)
-    assert {one: count for one, count in doubts.counts.items() if count} == kinds
+    plausibility = PlausibilityFilter()
+    assert platform.parse_load_report(text, plausibility) == Report(*found)
+    assert {one: count for one, count in plausibility.counts.items() if count} == kinds
 
 
 def test_a_read_is_well_whatever_it_tells_of_kept_tokens() -> None:
     for told, found in (("7", 7), ('"7"', "7"), ("null", ""), ("-3", -3), ("1" + "0" * 30, 10**30)):
-        assert platform.read_kept(b'{"cached_tokens":%b}' % told.encode()) == found
+        assert platform.parse_cached_tokens(b'{"cached_tokens":%b}' % told.encode()) == found
         answer = (
             b'{"kv_transfer_params":{"state_id":"s"},"usage":{"prompt_tokens_details":{"cached_tokens":%b}}}'
             % told.encode()
         )
-        assert engine.read_answer(answer).usage.kept == (None if told == "null" else found)
+        assert engine.parse_read_answer(answer).usage.cached_tok == (None if told == "null" else found)
     assert (
-        platform.read_kept(b"{}") == 0
-        and platform.read_kept(b"[]") is None
-        and platform.read_kept(b"{") is None
+        platform.parse_cached_tokens(b"{}") == 0
+        and platform.parse_cached_tokens(b"[]") is None
+        and platform.parse_cached_tokens(b"{") is None
     )
 
 
@@ -353,9 +353,9 @@
     prompt: int, told: Any, kept: int, kinds: dict[str, int]
 ) -> None:
     """Of 1,000 by its bytes; the engine counts more."""
-    doubts, usage = Doubts(), engine.Usage(prompt, 0, {"cached_tokens": told})
-    assert doubts.kept(usage.kept_of(1000), 1000) == kept
-    assert {one: count for one, count in doubts.counts.items() if count} == kinds
+    plausibility, usage = PlausibilityFilter(), engine.Usage(prompt, 0, {"cached_tokens": told})
+    assert plausibility.cached_tok(usage.cached_tok_within(1000), 1000) == kept
+    assert {one: count for one, count in plausibility.counts.items() if count} == kinds
 
 
 @pytest.mark.parametrize(
@@ -368,9 +368,9 @@
 )
 def test_a_report_of_an_engine(text: str, found: tuple, kinds: dict[str, int]) -> None:
     front = Engines(("a", "b", "c"))
-    front.host = SimpleNamespace(doubts=Doubts())  # type: ignore[assignment]
+    front.host = SimpleNamespace(plausibility=PlausibilityFilter())  # type: ignore[assignment]
     assert front.report(text) == Report(*found)
-    assert {one: count for one, count in front.host.doubts.counts.items() if count} == kinds
+    assert {one: count for one, count in front.host.plausibility.counts.items() if count} == kinds
     with pytest.raises(ValueError):
         front.report("TEXT a=0.5,b=nan")  # half a report might mislead: unread, and counted so by the host
 
--- a/tests/test_crossings_told.py
+++ b/tests/test_crossings_told.py
@@ -258,7 +258,7 @@
     """Its whole lists are large, and written for people to read."""
 
     def answer(self, call: Call) -> bytes:
-        whole = http.ResponseReader(1 << 14, 1 << 30)
+        whole = http.ResponseParser(1 << 14, 1 << 30)
         whole.feed(super().answer(call))
         told = json.loads(b"".join(whole.pieces))
         return http.response(200, json.dumps(told, indent=8).encode())
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -61,9 +61,9 @@
     )
 
 
-def answer(stream: Stream) -> Coro[http.ResponseReader | None]:
+def answer(stream: Stream) -> Coro[http.ResponseParser | None]:
     """None: an end without an answer. Raises Lost on a reset."""
-    reader = http.ResponseReader(1 << 14, 1 << 20)
+    reader = http.ResponseParser(1 << 14, 1 << 20)
     while not reader.complete:
         data = yield from stream.recv()
         if not data:
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -58,7 +58,7 @@
 
     def one(self, number, stream):
         try:
-            reader = http.RequestReader(8192, 1 << 20)
+            reader = http.RequestParser(8192, 1 << 20)
             while not reader.complete:
                 data = yield from stream.recv()
                 if not data:
@@ -83,7 +83,7 @@
                 stream = yield from self.world.connect((HOST, 100 + 10 * sender + to), limit)
                 try:
                     stream.write(http.request("POST", "/duty", "g", body))
-                    found = yield from whole(stream, http.ResponseReader(8192, 1 << 20))
+                    found = yield from whole(stream, http.ResponseParser(8192, 1 << 20))
                     what = "broken" if found is None else json.loads(bytes(ANSWER.decode(found).body))
                 finally:
                     stream.close()
@@ -96,7 +96,7 @@
         stream.write(
             http.request("POST", "/fault", "d", ENCODER.encode(Fault(name, on, kind, list(paths), strength)))
         )
-        assert (yield from whole(stream, http.ResponseReader(8192, 8192))) == b"{}"
+        assert (yield from whole(stream, http.ResponseParser(8192, 8192))) == b"{}"
         stream.close()
 
     def line(self, group, words):
@@ -159,7 +159,7 @@
         yield from play.world.sleep(MS)
         stream = yield from play.world.connect((HOST, 100), SECOND)
         stream.write(http.request("POST", "/fault", "d", b'{"name": "x", "on": true, "kind": "rain"}'))
-        reader = http.ResponseReader(8192, 8192)
+        reader = http.ResponseParser(8192, 8192)
         answers.append((yield from whole(stream, reader)))
         assert reader.status == 422
         group.cancel()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -18,7 +18,7 @@
 from stackpitch.platform.lines import Lines
 from stackpitch.platform.plan import planned
 from stackpitch.platform.serve import CLIENTS, MAX_BODY, RESERVE
-from stackpitch.plausible import Doubts
+from stackpitch.plausible import PlausibilityFilter
 from stackpitch.wire import http, platform
 
 ALL = scenarios(Path(__file__).parent / "scenarios_platform")
@@ -139,7 +139,7 @@
     ],
 )
 def test_what_an_answer_means(row: tuple, outcome: str, no_state: bool) -> None:
-    assert platform.answered(*row) == (outcome, no_state)
+    assert platform.classify_answer(*row) == (outcome, no_state)
 
 
 @pytest.mark.parametrize(
@@ -207,7 +207,7 @@
 
 
 def test_facts_of_a_head() -> None:
-    found = platform.facts(
+    found = platform.parse_request_head(
         {
             "req-id": "9b1f03aa5c7e2d41",
             "req-kind": "chat",
@@ -218,7 +218,7 @@
             "req-retry": "again",
         }
     )
-    assert found == platform.Facts(
+    assert found == platform.RequestHead(
         "9b1f03aa5c7e2d41", "chat", "acme", "7f3a", 4800, "5c0f", 2048, 5120, 800, False, True
     )
 
@@ -232,20 +232,20 @@
     ],
 )
 def test_a_load_line(text: str, found: tuple | None) -> None:
-    report = platform.report(text, Doubts())
+    report = platform.parse_load_report(text, PlausibilityFilter())
     assert (report and (report.held_share, report.slots_share, report.queued)) == found
 
 
 @pytest.mark.parametrize("text", ["queue=x", "queue", "queue=nan", "queue=-1", "", ",,="])
 def test_a_load_line_that_says_nothing_good(text: str) -> None:
     with pytest.raises(ValueError):
-        platform.report(text, Doubts())
+        platform.parse_load_report(text, PlausibilityFilter())
 
 
 @pytest.mark.parametrize("step", [1, 3, 1000])
 def test_events_as_they_came(step: int) -> None:
     body = b'data: {"a":1}\n\n: Srv-Load: queue=1\n\ndata: {"usage":{}}\n\ndata: [DONE]\n\n'
-    events = platform.Events()
+    events = platform.EventParser()
     passed = b"".join(events.feed([body[at : at + step]]) for at in range(0, len(body), step))
     assert (
         passed == body and events.done and events.load == "queue=1" and events.events == 3 and not events.rest
@@ -255,7 +255,7 @@
 @pytest.mark.parametrize("body", [b"\x01\x02\n\n", b"noise", b"data: noise\n\n", b"data: " + b"x" * 70_000])
 def test_what_is_no_event(body: bytes) -> None:
     with pytest.raises(http.BadMessage):
-        platform.Events().feed([body])
+        platform.EventParser().feed([body])
 
 
 @pytest.mark.parametrize(
--- a/tests/test_settings_isolation.py
+++ b/tests/test_settings_isolation.py
@@ -544,7 +544,7 @@
             before, brain = brain, module(number, GATEWAYS)
             brain.begin(now)
             brain.roster(now, servers, True)
-            brain.continue_cold_turns(before)
+            brain.continue_slow_start(before)
         gen = Generation(
             f"g{lookup}", CHAT, None, None, None, 0, 100, 10, None, now, now + 4 * SECOND, False, False
         )
@@ -576,7 +576,7 @@
     before, after = module(), module()
     for one in (before, after):
         one.roster(0, servers, True)
-    after.continue_cold_turns(before)
+    after.continue_slow_start(before)
     gens = [
         Generation(f"g{number}", CHAT, None, None, None, 0, 100, 10, None, 0, 9, False, False)
         for number in range(400)
--- a/tests/test_settings_ranges.py
+++ b/tests/test_settings_ranges.py
@@ -10,10 +10,10 @@
 
 @pytest.mark.parametrize("field", ["aimMs", "deadlineMs", "keyTtlMs"])
 def test_a_negative_time(field: str) -> None:
-    with pytest.raises(reading.Missing, match=rf"config.classes\[0\].{field}"):
-        reading.products(reading.Tree(SETTINGS | {"classes": [PAY | {field: -1}]}))
+    with pytest.raises(reading.InvalidSetting, match=rf"config.classes\[0\].{field}"):
+        reading.products(reading.SettingsSection(SETTINGS | {"classes": [PAY | {field: -1}]}))
 
 
 def test_a_class_that_is_named_twice() -> None:
-    with pytest.raises(reading.Missing, match=r"config.classes\[1\].name"):
-        reading.products(reading.Tree(SETTINGS | {"classes": [PAY, PAY | {"effect": "free"}]}))
+    with pytest.raises(reading.InvalidSetting, match=r"config.classes\[1\].name"):
+        reading.products(reading.SettingsSection(SETTINGS | {"classes": [PAY, PAY | {"effect": "free"}]}))
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -346,7 +346,7 @@
     def brain(self):
         if self.made is None:
             self.made = RuledBrain(
-                self, 7, Preferences(also=Tongues(self.roster, self).may), **self.arguments
+                self, 7, Preferences(server_filter=Tongues(self.roster, self).may), **self.arguments
             )
             self.made.begin(self.now)
             self.made.roster(self.now, list(self.servers.values()), True)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -22,15 +22,15 @@
 
 @pytest.mark.parametrize("step", [1, 2, 7, 1000])
 def test_an_answer_in_pieces_of_any_size(step: int) -> None:
-    reader, body = http.ResponseReader(1000, 1000), b""
+    reader, body = http.ResponseParser(1000, 1000), b""
     for at in range(0, len(ANSWER), step):
         assert not reader.complete
         reader.feed(ANSWER[at : at + step])
         body += b"".join(reader.pieces)
-    assert reader.complete and not reader.extra and body == b"data: a\n\ndata: b\n\n"
+    assert reader.complete and not reader.extra_bytes and body == b"data: a\n\ndata: b\n\n"
     assert orca.parse(reader.trailers[orca.HEADER]) == {"a": 1.0}
     reader.feed(b"H")
-    assert reader.extra
+    assert reader.extra_bytes
 
 
 @pytest.mark.parametrize(
@@ -48,7 +48,7 @@
 )
 def test_what_is_no_request_is_refused_with_its_status(text: bytes, status: int) -> None:
     with pytest.raises(http.BadMessage) as caught:
-        reader = http.RequestReader(4096, 1000)
+        reader = http.RequestParser(4096, 1000)
         for at in range(0, len(text), 512):
             reader.feed(text[at : at + 512])
     assert caught.value.status == status
@@ -68,7 +68,7 @@
     ids=["request", "answer"],
 )
 def test_what_is_neither_head_nor_body_is_bounded(head: bytes, beside: bytes) -> None:
-    reader = (http.RequestReader if head[0] == ord("P") else http.ResponseReader)(1000, 1000)
+    reader = (http.RequestParser if head[0] == ord("P") else http.ResponseParser)(1000, 1000)
     reader.feed(head)
     with pytest.raises(http.BadMessage, match="neither head nor body"):
         reader.feed(beside)
@@ -77,7 +77,7 @@
 
 
 def test_events_in_pieces() -> None:
-    events, found = sse.Events(100), []
+    events, found = sse.EventParser(100), []
     for one in (b'data: {"a"', b":1}\n", b"\nevent: x\r\ndata: b\r\n\r\n: remark\n\n", sse.DONE):
         found += events.feed(one)
     assert found == [b'{"a":1}', b"b", b"[DONE]"]
@@ -139,7 +139,7 @@
 def test_only_a_refusal_with_its_code_proves_that_a_leg_never_ran(
     status: int, body: bytes, outcome: tuple
 ) -> None:
-    assert answered("write", status, engine.refusal(status, body), False) == outcome
+    assert answered("write", status, engine.refusal_code(status, body), False) == outcome
 
 
 PRODUCT = Product("chat", "idempotent", "all", 0, 1000, 100, 60, 40_000, 1.0, 0.1)
@@ -237,8 +237,8 @@
     with pytest.raises(ValueError):
         orca.parse("JSON " + deep.decode())
     with pytest.raises(ValueError):
-        engine.read_answer(deep)
-    assert engine.refusal(503, deep) is None
+        engine.parse_read_answer(deep)
+    assert engine.refusal_code(503, deep) is None
 
 
 @pytest.mark.parametrize("fields", [http.MAX_FIELDS - 2, http.MAX_FIELDS + 1])
@@ -248,7 +248,7 @@
 )
 def test_fields_are_bounded_in_number(first: bytes, where: str, fields: int) -> None:
     """Thousands of short ones fit in the bytes of a head, and cost whoever reads them milliseconds."""
-    reader = (http.RequestReader if first[0] == ord("P") else http.ResponseReader)(1 << 16, 1000)
+    reader = (http.RequestParser if first[0] == ord("P") else http.ResponseParser)(1 << 16, 1000)
     short, chunked = b"a:\r\n" * fields, b"transfer-encoding: chunked\r\n"
     head, trailers = (short, b"") if where == "head" else (b"", short)
     text = first + chunked + head + b"\r\n0\r\n" + trailers + b"\r\n"
@@ -262,7 +262,7 @@
 
 
 def test_a_large_head_that_arrives_at_once_is_refused_for_its_size() -> None:
-    reader = http.RequestReader(1 << 14, 1 << 16)
+    reader = http.RequestParser(1 << 14, 1 << 16)
     with pytest.raises(http.BadMessage) as caught:
         reader.feed(b"GET / HTTP/1.1\r\na: " + b"b" * 20_000 + b"\r\n\r\n")
     assert caught.value.status == 431
--- a/tests/weights_stage.py
+++ b/tests/weights_stage.py
@@ -129,7 +129,7 @@
         try:
             kept = True
             while kept:
-                request = http.RequestReader(8192, 0)
+                request = http.RequestParser(8192, 0)
                 while not request.complete:
                     data = yield from stream.recv()
                     if not data:
