--- a/stackpitch/gateway/keeper/inforce.py
+++ b/stackpitch/gateway/keeper/inforce.py
@@ -12,7 +12,7 @@
 from stackpitch.membership.registrar import Registrar, RegistrarConfig, Verdict
 from stackpitch.membership.store import AppliedList
 from stackpitch.settings import Settings
-from stackpitch.settings.made import kinds, ticks
+from stackpitch.settings.convert import kinds, ticks
 
 
 def figures(settings: Settings) -> RegistrarConfig:
