--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -164,11 +164,11 @@
     def move(self, gen: Generation) -> None:
         self.note(f"move {gen.name}")
 
-    def wake(self, delay: Time, call: Callable[[Time], None]) -> None:
+    def call_later(self, delay: Time, call: Callable[[Time], None]) -> None:
         self.note(f"wake {delay}")
         self.world.after(delay, self.call, call)
 
-    def tell(self, peer: int, octets: bytes) -> None:
+    def send_to_peer(self, peer: int, octets: bytes) -> None:
         self.note(f"tell {peer} {octets.hex()}")
         self.world.tell(self, peer, octets)
 
@@ -283,7 +283,7 @@
                 again,
                 name=f"{again.name}'",
                 arrived=self.now,
-                gives_up=gives_up,
+                deadline=gives_up,
                 repeat=True,
                 over=False,
                 legs=[],
@@ -351,7 +351,7 @@
     def start(self, door: Door, leg: Leg) -> None:
         if leg.outcome is None and not leg.gen.over:
             leg.streaming = True
-            door.call(door.brain.started, leg)
+            door.call(door.brain.stream_started, leg)
             how = "reset" if self.random.random() < 0.01 else "streamed"
             self.after(self.random.randrange(SECOND), self.end, door, leg, how)
 
@@ -375,7 +375,7 @@
     def probed(self, door: Door, server: Server) -> None:
         well = self.random.random() < 0.9
         report = Report(self.random.random()) if well and self.random.random() < 0.3 else None
-        door.call(door.brain.probed, server, well, report)
+        door.call(door.brain.probe_answered, server, well, report)
 
     def tell(self, door: Door, peer: int, octets: bytes) -> None:
         chance = self.random.random()
@@ -384,7 +384,7 @@
             self.after(self.random.randrange(1, 5 * MS), self.heard, self.doors[peer], door.number, octets)
 
     def heard(self, door: Door, peer: int, octets: bytes) -> None:
-        door.call(door.brain.heard, peer, octets)
+        door.call(door.brain.peer_message, peer, octets)
 
 
 def record(sink: TextIO, seeds: int, seconds: float) -> None:
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -2,8 +2,8 @@
 
     python -m benchmarks.slow_start [--seeds 200] [--gateways 2 20 30 230] [--cases restarted all-cold] [--window 1000]
 
-Each gateway is a real `Fleet` that decides with `usable` and `draw`; arrivals (Poisson, uneven shares) and servers (one queue
-each) are simulated. A server's warm capacity is what the whole fleet carries, over its servers, at the load that the case
+Each gateway is a real `Fleet` that decides with `usable` and `admit_cold`; arrivals (Poisson, uneven shares) and servers (one
+queue each) are simulated. A server's warm capacity is what the whole fleet carries, over its servers, at the load that the case
 states; it warms linearly from `cold_from`. N is `fall_multiple` times the requests of mean work that it can do in a window, by
 its warmth at the window's start. A ratio is (sent - N) / (bound - N): over 1 it passes the bound. The operators' bound is
 `operators_bound`; N + 2 sqrt(N) + 2 for every N, which is stricter where N is under 30, is shown beside it. Servers keep their
@@ -18,7 +18,7 @@
 from random import Random
 from statistics import fmean, variance
 
-from stackpitch.brain import Fleet, Seat
+from stackpitch.brain import Fleet, ServerState
 from stackpitch.interface import Generation, Leg, ModuleSettings, Product, Role, Server, Time
 
 MS, SECOND = 10, 10_000
@@ -255,7 +255,7 @@
     def fleet(self, number: int, now: Time) -> Fleet:
         case = self.case
         made = fleet_of(number, self.count, case.cold_from, case.warm_up, case.multiple)
-        made.born = now
+        made.created_at = now
         return made
 
     def at(self, when: Time, what: str, *of: object) -> None:
@@ -313,13 +313,13 @@
         self.send(now, number, gen)
 
     def send(self, now: Time, number: int, gen: Generation) -> None:
-        """As `Guard.open` and `Reader.pick` choose, with the hash's order by chance."""
+        """As `Dispatcher.candidates` and `Reader.pick` choose, with the hash's order by chance."""
         fleet = self.fleets[number]
         tried = {leg.server for leg in gen.legs}
         roles: tuple[Role, ...] = ("reader", "mixed")
         seats = [one for role in roles for one in fleet.usable(role, now, gen) if one.server not in tried]
-        seats = [one for one in seats if one.drawn is gen] or [
-            one for one in seats if not fleet.cold(one, now)
+        seats = [one for one in seats if one.admitted_gen is gen] or [
+            one for one in seats if not fleet.is_cold(one, now)
         ]
         if not seats or len(gen.legs) >= TRIES:
             return
@@ -346,18 +346,18 @@
             "read" if done <= now + PATIENCE else "time-out",
         )
 
-    def back(self, now: Time, number: int, fleet: Fleet, seat: Seat, leg: Leg, outcome: str) -> None:
+    def back(self, now: Time, number: int, fleet: Fleet, seat: ServerState, leg: Leg, outcome: str) -> None:
         seat.waiting.pop(leg, None)
         leg.outcome = outcome  # type: ignore[assignment]
         if self.fleets[number] is not fleet:
             return  # its gateway is no more
-        if seat.server not in fleet.seats:
-            fleet.seats[seat.server] = seat  # kept in use by its leg
+        if seat.server not in fleet.server_states:
+            fleet.server_states[seat.server] = seat  # kept in use by its leg
         if outcome == "read":
             self.read += seat.server.name in self.sent
-            fleet.word(seat, now, leg)
+            fleet.record_success(seat, now, leg)
         else:
-            fleet.strike(seat, now, leg)
+            fleet.record_failure(seat, now, leg)
             if outcome == "unreachable":
                 self.send(now, number, leg.gen)
 
--- a/soak/mutants/answers.py
+++ b/soak/mutants/answers.py
@@ -62,7 +62,7 @@
         client = self.client
         if client is not None and not self.answered:
             acted()
-            at = self.gen.gives_up + AFTER_TIME
+            at = self.gen.deadline + AFTER_TIME
             self._put = partial(_write_later, client, at)
         refuse(self, *args, **fields)
 
--- a/soak/mutants/effects.py
+++ b/soak/mutants/effects.py
@@ -6,7 +6,7 @@
 
 from soak.mutants.acting import Mutant, acted, every, patch
 from stackpitch.benchlink import settings as reading
-from stackpitch.brain import guard
+from stackpitch.brain import dispatcher
 from stackpitch.gateway import leg as attempts
 from stackpitch.gateway import permission, repeats
 from stackpitch.gateway.outcomes import Phase
@@ -91,12 +91,12 @@
 
 def late_repeats() -> None:
     """Keyed work is repeated for five seconds more than its window."""
-    until = guard.remembered_until
+    until = dispatcher.remembered_until
 
     def later(sent: Any, product: Any) -> Any:
         return until(sent, product) + WINDOW_MORE
 
-    patch(guard, "remembered_until", later)
+    patch(dispatcher, "remembered_until", later)
     patch(repeats, "remembered_until", later)
 
     def beyond(leg: Any, now: Any) -> bool:
@@ -120,7 +120,7 @@
 
     def outside(leg: Any, now: Any) -> bool:
         scope = scopes[leg.gen.product.name]
-        others = [one.server for one in leg.gen.ran() if one is not leg]
+        others = [one.server for one in leg.gen.may_have_run() if one is not leg]
         if leg.gen.product.effect != "deduplicated" or scope == "all":
             return False
         return any(
@@ -128,35 +128,39 @@
         )
 
     _note_sends(outside)
-    answer = guard.Guard.answer
+    answer = dispatcher.Dispatcher.refuse
 
     def note(self: Any, gen: Any, why: Any) -> None:
-        if self.ran(gen) and gen.product.effect == "deduplicated" and scopes[gen.product.name] != "all":
+        if (
+            self.may_have_run(gen)
+            and gen.product.effect == "deduplicated"
+            and scopes[gen.product.name] != "all"
+        ):
             acted()  # it may be refused, as if any worker dropped its repeat
         answer(self, gen, why)
 
-    patch(guard.Guard, "answer", note)
+    patch(dispatcher.Dispatcher, "refuse", note)
 
 
 def refused_though_run() -> None:
     """What has an effect and may have run is answered with 429."""
-    answer = guard.Guard.answer
+    answer = dispatcher.Dispatcher.refuse
 
     def refuse(self: Any, gen: Any, why: Any) -> None:
-        if gen.over or gen.product.effect != "side-effecting" or not self.ran(gen):
+        if gen.over or gen.product.effect != "side-effecting" or not self.may_have_run(gen):
             answer(self, gen, why)
             return
         acted()
-        gen.given_up = why
+        gen.refusal_reason = why
         self.gateway.throttle(gen, 0)
-        self.holds.release(gen)
+        self.held_state.release(gen)
 
-    patch(guard.Guard, "answer", refuse)
+    patch(dispatcher.Dispatcher, "refuse", refuse)
 
 
 def too_many_attempts() -> None:
     """A request gets two attempts more than the settings allow."""
-    begin = guard.Guard.__init__
+    begin = dispatcher.Dispatcher.__init__
     most: list[int] = []
 
     def more(self: Any, fleet: Any, max_legs: int, *others: Any) -> None:
@@ -164,7 +168,7 @@
             most.append(max_legs)
         begin(self, fleet, most[0] + ATTEMPTS_MORE, *others)
 
-    patch(guard.Guard, "__init__", more)
+    patch(dispatcher.Dispatcher, "__init__", more)
     _note_sends(lambda leg, now: leg.number >= most[0])
 
 
--- a/soak/mutants/held.py
+++ b/soak/mutants/held.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from soak.mutants.acting import Mutant, acted, every, patch
-from stackpitch.brain.holds import Holds
+from stackpitch.brain.held_state import HeldState
 from stackpitch.gateway.ask import DEPARTED
 from stackpitch.gateway.leg import LegRun
 from stackpitch.loop import MS, Coro
@@ -85,7 +85,7 @@
 
 def _rest(rests: Callable[[Any], bool]) -> None:
     """`rests`: asked of each attempt that is out as a state's time is over; the state is not released then."""
-    due = Holds._due
+    due = HeldState._due
 
     def look(self: Any, request: Any, since: int) -> None:
         out = [one for one in request.legs if one.outcome is None]
@@ -94,7 +94,7 @@
         else:
             due(self, request, since)
 
-    patch(Holds, "_due", look)
+    patch(HeldState, "_due", look)
 
 
 def unarrived_send() -> None:
--- a/soak/mutants/servers.py
+++ b/soak/mutants/servers.py
@@ -120,17 +120,17 @@
 
 
 def _cold(changed: Callable[[Any, Any, Any], bool]) -> None:
-    patch(SlowStart, "cold", changed)
+    patch(SlowStart, "is_cold", changed)
 
 
 def cold_too_short() -> None:
     """A worker is taken for warm after a quarter of the time."""
-    cold = SlowStart.cold
+    cold = SlowStart.is_cold
 
     def shorter(self: Any, seat: Any, now: Any) -> bool:
         if not cold(self, seat, now):
             return False
-        short = bool(now - self.started(seat.server) < self.warm_up // COLD_PART)
+        short = bool(now - self.effective_start(seat.server) < self.warm_up // COLD_PART)
         if not short:
             acted()
         return short
@@ -140,7 +140,7 @@
 
 def cold_too_much() -> None:
     """A cold worker gets four times its part."""
-    draw = SlowStart.draw
+    draw = SlowStart.admit_cold
 
     def more(self: Any, seat: Any, now: Any, gen: Any) -> bool:
         found = False
@@ -150,7 +150,7 @@
             acted()
         return found
 
-    patch(SlowStart, "draw", more)
+    patch(SlowStart, "admit_cold", more)
 
 
 MUTANTS = {
--- a/stackpitch/benchlink/host.py
+++ b/stackpitch/benchlink/host.py
@@ -90,12 +90,12 @@
         gen.over = True
         self.lines.append(f"REASSIGN {gen.name}")
 
-    def wake(self, delay: Time, call: Callable[[Time], None]) -> None:
+    def call_later(self, delay: Time, call: Callable[[Time], None]) -> None:
         self.next_call += 1
         self.calls[self.next_call] = call
         self.lines.append(f"TIMER {delay / 10} {self.next_call}")
 
-    def tell(self, peer: int, octets: bytes) -> None:
+    def send_to_peer(self, peer: int, octets: bytes) -> None:
         self.lines.append(f"WRITE_PEER {peer} {b64encode(octets).decode()}")
 
     def subscribe(self) -> None:
@@ -119,7 +119,7 @@
             self.log("implausible " + " ".join(f"{name}={value}" for name, value in told.items()))
 
     def _forget(self, gen: Generation) -> None:
-        if gen.over and not gen.out():
+        if gen.over and not gen.in_flight():
             self.generations.pop(gen.name, None)
 
     def on_provisioned(self) -> None:
@@ -222,7 +222,7 @@
         leg = self._leg(name, number)
         if leg is not None and leg.outcome is None:
             leg.streaming = True
-            self.brain.started(self.now, leg)
+            self.brain.stream_started(self.now, leg)
 
     def on_left(self, name: str) -> None:
         gen = self.generations.get(name)
@@ -234,7 +234,7 @@
     def on_held(self, name: str, kind: int, value: float | None, server: str, number: int | None) -> None:
         gen = self.generations.get(name)
         if gen is not None and server in self.servers:
-            self.brain.held(self.now, gen, self.servers[server], kind == 1)
+            self.brain.hold_answered(self.now, gen, self.servers[server], kind == 1)
 
     def on_probed(
         self, disposition: str, wait: Time | None, server: str, usage: dict[str, float] | None
@@ -242,13 +242,13 @@
         if disposition not in OUTCOMES:
             raise BadField("disposition")
         if server in self.servers:
-            self.brain.probed(
+            self.brain.probe_answered(
                 self.now, self.servers[server], disposition == "pass", self._report(server, usage)
             )
             self._doubted()
 
     def on_heard(self, peer: int, octets: bytes | None) -> None:
-        self.brain.heard(self.now, peer, octets or b"")
+        self.brain.peer_message(self.now, peer, octets or b"")
 
     def on_reminder(self, key: int) -> None:
         call = self.calls.pop(key, None)
--- a/stackpitch/benchlink/settings.py
+++ b/stackpitch/benchlink/settings.py
@@ -79,7 +79,7 @@
             name=name,
             effect=effect,
             scope=one.get("dedupScope", str, "all"),
-            memory=one.ticks("keyTtlMs", 0),
+            dedup_window=one.ticks("keyTtlMs", 0),
             slo_time=one.ticks("aimMs"),
             slo_per_ktok=int(per_ktok[i] / 100) if i < len(per_ktok) else 0,
             token_gap=int(gaps[i] * 10) if i < len(gaps) else 0,
--- a/stackpitch/brain/__init__.py
+++ b/stackpitch/brain/__init__.py
@@ -1,17 +1,17 @@
 """All decisions of a gateway, and every table and tuned value behind them.
 
-A generation passes Home, Owner, Reader and Writer by `take`, and back up by `back`; only Guard sends."""
+A generation passes AffinityDirectory, SessionAffinity, Reader and Writer by `take`, and back up by `back`; only Dispatcher sends."""
 
 from typing import Any
 
 from stackpitch.brain.admission import Admission
-from stackpitch.brain.affinity import Home, Owner
+from stackpitch.brain.affinity import AffinityDirectory, SessionAffinity
 from stackpitch.brain.fleet import Fleet
-from stackpitch.brain.guard import Guard
-from stackpitch.brain.holds import Holds
+from stackpitch.brain.dispatcher import Dispatcher
+from stackpitch.brain.held_state import HeldState
 from stackpitch.brain.probing import Probing
 from stackpitch.brain.reader import Reader
-from stackpitch.brain.seats import Seat, mix
+from stackpitch.brain.server_state import ServerState, mix_hashes
 from stackpitch.brain.writer import Writer
 from stackpitch.interface import (
     SECOND,
@@ -25,7 +25,7 @@
     Time,
 )
 
-__all__ = ["Brain", "Fleet", "Guard", "Holds", "Home", "Seat", "mix"]
+__all__ = ["Brain", "Fleet", "Dispatcher", "HeldState", "AffinityDirectory", "ServerState", "mix_hashes"]
 
 
 class Brain(Module):
@@ -37,18 +37,21 @@
         self.gateway, self.must_ask = gateway, settings.must_ask
         self.fleet = Fleet(gateway, seed, settings)
         self.probing = Probing(self.fleet, settings.probes)
-        self.holds = Holds(gateway, settings.release)
-        self.guard = Guard(self.fleet, settings.max_legs, settings.max_retry_after, self.holds)
-        self.writer = Writer(self.guard)
-        self.admission = Admission(self.guard)
+        self.held_state = HeldState(gateway, settings.release)
+        self.dispatcher = Dispatcher(self.fleet, settings.max_legs, settings.max_retry_after, self.held_state)
+        self.writer = Writer(self.dispatcher)
+        self.admission = Admission(self.dispatcher)
         self.reader = Reader(self.admission, self.writer, settings.local_reads, settings.cancels)
-        self.owner = Owner(self.reader)
-        self.home = Home(self.owner)
-        self.probed, self.heard = self.probing.answered, self.home.heard
-        self.chain = self.home, self.owner, self.reader, self.writer
+        self.affinity = SessionAffinity(self.reader)
+        self.affinity_directory = AffinityDirectory(self.affinity)
+        self.probe_answered, self.peer_message = (
+            self.probing.probe_answered,
+            self.affinity_directory.peer_message,
+        )
+        self.chain = self.affinity_directory, self.affinity, self.reader, self.writer
 
     def begin(self, now: Time) -> None:
-        self.fleet.born = now
+        self.fleet.created_at = now
         if self.must_ask:
             self.gateway.subscribe()
 
@@ -57,38 +60,38 @@
 
     def roster_failed(self, now: Time) -> None:
         if self.must_ask:
-            self.gateway.wake(self.ASK_AGAIN, lambda _: self.gateway.subscribe())
+            self.gateway.call_later(self.ASK_AGAIN, lambda _: self.gateway.subscribe())
 
     def arrived(self, now: Time, gen: Generation) -> None:
         self.probing.arrived(now)
-        self.home.take(now, gen)
+        self.affinity_directory.take(now, gen)
 
-    def started(self, now: Time, leg: Leg) -> None:
-        seat = self.fleet.seats[leg.server]
+    def stream_started(self, now: Time, leg: Leg) -> None:
+        seat = self.fleet.server_states[leg.server]
         seat.waiting.pop(leg, None)
-        self.fleet.word(seat, now, leg)
-        self.holds.started(leg.gen)
-        self.owner.started(now, leg)
+        self.fleet.record_success(seat, now, leg)
+        self.held_state.stream_started(leg.gen)
+        self.affinity.stream_started(now, leg)
 
     def ended(self, now: Time, leg: Leg, kept_tok: int, no_state: bool, report: Report | None) -> None:
-        seat, gen = self.fleet.seats[leg.server], leg.gen
+        seat, gen = self.fleet.server_states[leg.server], leg.gen
         seat.waiting.pop(leg, None)
         seat.drop(gen)
         self.fleet.reported(seat, now, report)
-        self.holds.ended(now, leg, no_state)
+        self.held_state.ended(now, leg, no_state)
         if leg.outcome == "read":
-            self.fleet.word(seat, now, leg)
+            self.fleet.record_success(seat, now, leg)
             self.reader.overtaken(now, seat, leg)
         elif leg.outcome in ("error", "time-out", "unreachable", "reset", "full") and not no_state:
-            self.fleet.strike(seat, now, leg)
+            self.fleet.record_failure(seat, now, leg)
         any(stage.back(now, leg, kept_tok, no_state) for stage in reversed(self.chain))  # until one keeps it
-        if not gen.out():
-            self.guard.answer(gen, "attempts")
-            self.writer.plan.pop(gen, seat).drop(gen)
+        if not gen.in_flight():
+            self.dispatcher.refuse(gen, "attempts")
+            self.writer.planned_writers.pop(gen, seat).drop(gen)
 
-    def keeps(self, gen: Generation) -> bool:
-        return self.home.asked.get(self.owner.key(gen)) is gen
+    def awaits_peer(self, gen: Generation) -> bool:
+        return self.affinity_directory.asked.get(self.affinity.session_key(gen)) is gen
 
     def departed(self, now: Time, gen: Generation) -> None:
-        if not gen.out():
-            self.holds.release(gen)
+        if not gen.in_flight():
+            self.held_state.release(gen)
--- a/stackpitch/brain/admission.py
+++ b/stackpitch/brain/admission.py
@@ -1,6 +1,6 @@
 """Throttles early what would likely come late, whatever the cause; few slow legs may pass for a jam."""
 
-from stackpitch.brain.guard import Guard
+from stackpitch.brain.dispatcher import Dispatcher
 from stackpitch.interface import MS, Generation, Time
 
 
@@ -8,17 +8,17 @@
     START, SPAN, LATE = 0.2, 0.3, 0.35  # of the SLO time: from there some go, then all; what may be waited
     HELD_SHARE, HELD_SAY = 0.72, 2.0  # of the writers' memory; more counts so many times as a wait does
 
-    def __init__(self, guard: Guard) -> None:
-        self.guard, self.fleet, self.shedding = guard, guard.fleet, False
+    def __init__(self, guard: Dispatcher) -> None:
+        self.dispatcher, self.fleet, self.shedding = guard, guard.fleet, False
 
     def sheds(self, now: Time, gen: Generation, cost: float) -> bool:
         """Whether this one has been throttled. `cost`: tokens read before it and for it, if known."""
-        left, late = gen.gives_up - now, self.fleet.expected(now, gen)
+        left, late = gen.deadline - now, self.fleet.expected_first_token(now, gen)
         readers, writers = (self.fleet.healthy(role, now) for role in ("reader", "writer"))
         wait = self.fleet.queue_wait("reader", readers, now) + self.fleet.queue_wait("writer", writers, now)
         wait = max(wait, cost * self.fleet.usual["reader"] / max(1.0, self.fleet.ahead))
         part = wait / max(1, min(gen.slo(), left))
-        others = self.fleet.other_share("writer", now)
+        others = self.fleet.peer_held_share("writer", now)
         held = sum(self.fleet.held_share(one, now, others) for one in writers) / max(1, len(writers))
         first = self.LATE if not gen.repeat else 0 if self.fleet.peers else -self.START  # tells of a loss
         aim = gen.slo() if self.fleet.peers else min(gen.slo(), left)  # where no one tells of queues
@@ -32,5 +32,5 @@
                 f"wait={wait / MS:.0f}ms late={late / MS:.0f}ms held={held:.2f}"
             )
         if shed:
-            self.guard.answer(gen, "overload")
+            self.dispatcher.refuse(gen, "overload")
         return shed
--- a/stackpitch/brain/holds.py
+++ b/stackpitch/brain/held_state.py
@@ -11,7 +11,7 @@
 from stackpitch.interface import ANSWERED, NEVER_RAN, Gateway, Generation, Leg, Time
 
 
-class Holds:
+class HeldState:
     # Of the time allowed, then a release is sent: the rest, and what the page grants, is for its way.
     RELEASE_PART = 0.95
     VAIN_PART = 0.6  # of it, after which no further connection is tried in vain
@@ -20,34 +20,34 @@
         self.gateway, self.allowed = gateway, allowed
         # Since when a state is held, or is again; emptied by a stream's start, by a worker that finds no
         # state, and by the request's end.
-        self.since: dict[Generation, Time] = {}
+        self.held_since: dict[Generation, Time] = {}
 
     def ended(self, now: Time, leg: Leg, no_state: bool) -> None:
         """An attempt's outcome starts the time anew if its worker answered it."""
         gen = leg.gen
         if no_state:
-            self.since.pop(gen, None)
-        elif leg.outcome == "read" or gen in self.since and leg.outcome in ANSWERED:
-            self.since[gen] = now
-            self.gateway.wake(int(self.allowed * self.RELEASE_PART), lambda _: self._due(gen, now))
+            self.held_since.pop(gen, None)
+        elif leg.outcome == "read" or gen in self.held_since and leg.outcome in ANSWERED:
+            self.held_since[gen] = now
+            self.gateway.call_later(int(self.allowed * self.RELEASE_PART), lambda _: self._due(gen, now))
         elif leg.server.role == "reader" and leg.outcome not in NEVER_RAN:
             # It may have ended well unseen; the prompt is read again in any case.
             self.gateway.release(gen, "read-in-doubt")
 
     def _due(self, gen: Generation, since: Time) -> None:
-        if self.since.get(gen) == since:
+        if self.held_since.get(gen) == since:
             self.gateway.release(gen, "attempt-unread")
 
     def overdue(self, now: Time, leg: Leg) -> bool:
         """Whether one more connection in vain would come after the release."""
-        held = now - self.since.get(leg.gen, now) if leg.outcome in ("unreachable", "not-sent") else 0
+        held = now - self.held_since.get(leg.gen, now) if leg.outcome in ("unreachable", "not-sent") else 0
         return held > self.allowed * self.VAIN_PART
 
-    def started(self, gen: Generation) -> None:
+    def stream_started(self, gen: Generation) -> None:
         """A stream lets go of all else by itself."""
-        self.since.pop(gen, None)
+        self.held_since.pop(gen, None)
 
     def release(self, gen: Generation) -> None:
         """The request is over, with no attempt out."""
-        if self.since.pop(gen, None) is not None:
+        if self.held_since.pop(gen, None) is not None:
             self.gateway.release(gen, "request-over")
--- a/stackpitch/expect/dry.py
+++ b/stackpitch/expect/dry.py
@@ -337,7 +337,7 @@
         story = self.stories[gen]
         story.holds.append(server)
         self._step(story, f"a place is held at {server.name}")
-        self.at(self.now + 2 * MS, lambda: self.brain.held(self.now, gen, server, True))
+        self.at(self.now + 2 * MS, lambda: self.brain.hold_answered(self.now, gen, server, True))
 
     def release(self, gen: Generation, why: ReleaseReason) -> None:
         story = self.stories.get(gen)
@@ -367,15 +367,17 @@
 
     def probe(self, server: Server) -> None:
         well = self.conditions[server].state == "well"
-        self.at(self.now + 5 * MS, lambda: self.brain.probed(self.now, server, well, self._report(server)))
+        self.at(
+            self.now + 5 * MS, lambda: self.brain.probe_answered(self.now, server, well, self._report(server))
+        )
 
     def move(self, gen: Generation) -> None:
         self._final(self.stories[gen], "broken")
 
-    def wake(self, delay: Time, call: Callable[[Time], None]) -> None:
+    def call_later(self, delay: Time, call: Callable[[Time], None]) -> None:
         self.at(self.now + delay, lambda: call(self.now))
 
-    def tell(self, peer: int, octets: bytes) -> None:
+    def send_to_peer(self, peer: int, octets: bytes) -> None:
         """No other gateway is here: words are lost."""
 
     def subscribe(self) -> None:
@@ -398,7 +400,7 @@
         story.holds.clear()
         story.holds = []
         self._step(story, f"{leg.server.name} writes the first token")
-        brain.started(self.now, leg)
+        brain.stream_started(self.now, leg)
         long = int(story.answer_tok * TOKEN * self.conditions[leg.server].slow)
         if story.leaves == "leaves mid-stream":
             self.at(self.now + long // 2, lambda: self._departs(story))
@@ -488,7 +490,7 @@
                 one.server.zone == server.zone and (product.scope == "zone" or one.server.cell == server.cell)
                 for one in may
             )
-            if not same or self.now - may[0].sent > product.memory:
+            if not same or self.now - may[0].sent > product.dedup_window:
                 self._breach(
                     "effects",
                     f"{product.name} is sent to {server.name}, which may not know that "
@@ -527,7 +529,7 @@
 
     def _look(self, story: Story) -> None:
         """What is held with no leg out is watched from one moment to the next."""
-        waits = bool(story.holds) and not story.gen.out()
+        waits = bool(story.holds) and not story.gen.in_flight()
         if waits and story.held_since is None:
             story.held_since = self.now
         elif not waits and story.held_since is not None:
@@ -550,7 +552,7 @@
                 continue
             if story.finals != 1:
                 self._breach("answered", f"{gen.product.name} has {story.finals} final answers")
-            elif (story.answered or 0) > gen.gives_up:
+            elif (story.answered or 0) > gen.deadline:
                 self._breach("answered", f"{gen.product.name} is answered after its time limit")
 
     # Explanations.
@@ -564,9 +566,9 @@
     def board(self, story: Story) -> list[dict[str, Any]]:
         """What the module knows of its servers now, by its own figures; nothing is changed by looking."""
         fleet, found = self.brain.fleet, []
-        for seat in fleet.seats.values():
+        for seat in fleet.server_states.values():
             server, role = seat.server, seat.server.role
-            usual = fleet.other_share(role, self.now)
+            usual = fleet.peer_held_share(role, self.now)
             health = (
                 "draining"
                 if server.state == "draining"
@@ -574,9 +576,9 @@
                 if server.state == "gone"
                 else (
                     "shunned"
-                    if self.now < seat.shunned_until
+                    if self.now < seat.ejected_until
                     else "silent"
-                    if fleet.unwell(seat, self.now)
+                    if fleet.is_unhealthy(seat, self.now)
                     else "well"
                 )
             )
@@ -587,10 +589,12 @@
                     "rack": server.cell,
                     "health": health,
                     "held": round(fleet.held_share(seat, self.now, usual), 3),
-                    "own_tok": seat.own,
+                    "own_tok": seat.own_tok,
                     "waiting": len(seat.waiting),
-                    "warmth": round(fleet.warmth(seat, self.now), 2),
-                    "cold_turn": round(seat.turn[1], 2) if fleet.cold(seat, self.now) else None,
+                    "warmth": round(fleet.capacity_share(seat, self.now), 2),
+                    "cold_turn": round(seat.admission_credit[1], 2)
+                    if fleet.is_cold(seat, self.now)
+                    else None,
                     "tried": any(leg.server is server for leg in story.gen.legs),
                 }
             )
--- a/stackpitch/gateway/ask.py
+++ b/stackpitch/gateway/ask.py
@@ -83,7 +83,7 @@
 
     def answer_ended_sending(self) -> None:
         """The final answer for a client that has ended its sending: no attempt begins for it any more, but it may read."""
-        nothing_ran = self.unsent.issuperset(self.gen.ran())
+        nothing_ran = self.unsent.issuperset(self.gen.may_have_run())
         status = 429 if nothing_ran else 502
         self.refuse(
             status, DEPARTED, "the client ended its sending before its answer came", again=nothing_ran
--- a/stackpitch/gateway/host/asked.py
+++ b/stackpitch/gateway/host/asked.py
@@ -48,9 +48,9 @@
             metrics,
             self.connections,
             peers,
-            lambda peer, octets: self._tell(None, lambda now: self.brain.heard(now, peer, octets)),
+            lambda peer, octets: self._tell(None, lambda now: self.brain.peer_message(now, peer, octets)),
         )
-        self.tell, self.heard = self.words.tell, self.words.heard
+        self.send_to_peer, self.heard = self.words.tell, self.words.heard
         self.preferences_also: Callable[[Generation, Server], bool] | None = None
         self.list_wanted: Callable[[], None] | None = None  # the module asks to hear the list
         self.brain = RuledBrain(self, seed, preferences, **arguments)  # type: ignore[abstract]
@@ -90,7 +90,7 @@
 
         def call() -> Coro[None]:
             granted = yield from self.front.hold(ask, gen.legs[-1], server)
-            self._tell(ask, lambda now: brain.held(now, gen, server, granted))
+            self._tell(ask, lambda now: brain.hold_answered(now, gen, server, granted))
 
         self.group.spawn(self.counted(call()), f"hold {gen.name}")
 
@@ -100,7 +100,7 @@
             return
         self.note(ask, Step.LET_GO, why)
         self.metrics.releases_asked.labels(why).inc()
-        if gen.out():
+        if gen.in_flight():
             self.front.release_unused(ask)
         else:
             self.front.release(ask)
@@ -139,7 +139,7 @@
             self.doubts.server = server.name
             self._tell(
                 None,
-                lambda now: brain.probed(
+                lambda now: brain.probe_answered(
                     now, server, well, self._report(End("streamed", Phase.HEAD, report=report))
                 ),
             )
@@ -154,7 +154,7 @@
             if (task := ask.tasks.get(ask.serving)) is not None:
                 task.cancel()
 
-    def wake(self, delay: Time, call: Callable[[Time], None]) -> None:
+    def call_later(self, delay: Time, call: Callable[[Time], None]) -> None:
         self.world.at(self.world.now() + delay, lambda: self._tell(None, call))
 
     def subscribe(self) -> None:
--- a/stackpitch/gateway/host/told.py
+++ b/stackpitch/gateway/host/told.py
@@ -145,10 +145,10 @@
         self.asks[gen] = ask
         self.note(ask, Step.ARRIVED)
         self.metrics.held.set(len(self.asks))
-        ask.watch = self.world.at(gen.gives_up + self.bounds.watch, lambda: self._watched(ask))
+        ask.watch = self.world.at(gen.deadline + self.bounds.watch, lambda: self._watched(ask))
         brain = self.brain
         self._tell(ask, lambda now: brain.arrived(now, gen))
-        if not gen.over and not gen.out() and not brain.keeps(gen):
+        if not gen.over and not gen.in_flight() and not brain.awaits_peer(gen):
             self.logger.error("module_kept_without_leg", generation=gen.name)
             self.terminate(gen)
 
@@ -223,7 +223,7 @@
         self.front.started(ask, leg, fetched)
         self.counters.started(self.world.now(), leg)
         brain = self.brain_of(leg.gen)
-        self._tell(ask, lambda now: brain.started(now, leg))
+        self._tell(ask, lambda now: brain.stream_started(now, leg))
         self.metrics.first_token.labels(ask.gen.product.name).observe(
             (self.world.now() - ask.gen.arrived) / 10_000
         )
@@ -253,7 +253,7 @@
         self._tell(ask, lambda now: brain.ended(now, leg, kept, end.no_state, self._report(end)))
         if (doubted := self.doubts.due(self.world.now())) is not None:
             self.logger.warning("implausible", **doubted)
-        if not gen.over and not gen.out():
+        if not gen.over and not gen.in_flight():
             self.logger.error("module_kept_without_leg", generation=gen.name, outcome=end.outcome)
             self.terminate(gen)
         self._settle(ask)
@@ -267,7 +267,7 @@
         now = self.world.now()
         if not self.telling.tells(now, ask.end):
             return
-        ask.steps.append((now, Step.ANSWERED, f"{ask.end} {ask.gen.given_up or ''}"))
+        ask.steps.append((now, Step.ANSWERED, f"{ask.end} {ask.gen.refusal_reason or ''}"))
         self.logger.info(
             "request",
             id=ask.gen.name,
@@ -292,12 +292,12 @@
             call(self.world.now())
         except Exception as wrong:  # a fault in the module must not cost other generations anything
             self.logger.exception("module_raised", why=str(wrong), generation=ask.gen.name if ask else None)
-            if ask is not None and not ask.gen.over and not ask.gen.out():
+            if ask is not None and not ask.gen.over and not ask.gen.in_flight():
                 self.terminate(ask.gen)
 
     def _settle(self, ask: Ask) -> None:
         """Forgets a generation that is over with no leg out. Rule 5's last net: what still waits is let go."""
-        if ask.gen.over and not ask.gen.out() and self.asks.pop(ask.gen, None) is not None:
+        if ask.gen.over and not ask.gen.in_flight() and self.asks.pop(ask.gen, None) is not None:
             self.front.release(ask)
             self.earlier.pop(ask.gen, None)
             if ask.watch is not None:
--- a/stackpitch/gateway/leg.py
+++ b/stackpitch/gateway/leg.py
@@ -35,7 +35,7 @@
         self.host, self.leg = host, leg
         # The attempt is given up then. `limit` was counted from the decision: the request's own end guards against a
         # process that was held up between, which would still wait for the attempt when the request's time is over.
-        self.ends = min(host.world.now() + limit, leg.gen.gives_up)
+        self.ends = min(host.world.now() + limit, leg.gen.deadline)
         self.carried = ask
         self.phase = [Phase.QUEUED]
         self.reader = http.ResponseReader(host.bounds.max_head, host.bounds.max_answer)
--- a/stackpitch/gateway/permission.py
+++ b/stackpitch/gateway/permission.py
@@ -109,7 +109,7 @@
     earlier = [one for one in request.legs if one is not leg]
     if any(one.outcome is None for one in earlier):
         return Reason.ANOTHER_OUT
-    if request.product.effect == "side-effecting" and any(one is not leg for one in request.ran()):
+    if request.product.effect == "side-effecting" and any(one is not leg for one in request.may_have_run()):
         return Reason.MAY_HAVE_RUN
     until = latest(leg)
     if until is not None and now.time >= until:
--- a/stackpitch/gateway/repeats.py
+++ b/stackpitch/gateway/repeats.py
@@ -5,7 +5,7 @@
 again.
 """
 
-from stackpitch.brain.guard import remembered_until
+from stackpitch.brain.dispatcher import remembered_until
 from stackpitch.interface import Leg, Time
 
 
@@ -13,5 +13,5 @@
     """The time by which a leg's last byte must have been handed over; None: any. Its other legs are asked, and the window is
     the one by which the module decides to send."""
     product = leg.gen.product
-    others = [one.sent for one in leg.gen.ran() if one is not leg]
+    others = [one.sent for one in leg.gen.may_have_run() if one is not leg]
     return remembered_until(min(others), product) if others and product.effect == "deduplicated" else None
--- a/stackpitch/gateway/roster.py
+++ b/stackpitch/gateway/roster.py
@@ -61,7 +61,9 @@
                 self.vocabularies[server] = one.vocabulary
         server.state, server.weight = one.state, one.weight
         start = self.starts.take(one.name, one.started_unix_ms)
-        server.started, server.told = (None, None) if start is None else (start.claimed, start.told)
+        server.started, server.start_first_seen = (
+            (None, None) if start is None else (start.claimed, start.told)
+        )
         self.addresses[server] = one.address
         return server
 
--- a/stackpitch/interface.py
+++ b/stackpitch/interface.py
@@ -18,7 +18,7 @@
 Outcome = Literal[
     "streamed", "read", "error", "full", "time-out", "unreachable", "reset", "cancelled", "not-sent"
 ]
-GivenUp = Literal[
+RefusalReason = Literal[
     "overload", "no-server", "attempts"
 ]  # too long a wait; none may be sent to; none of them served
 # Why what is held is released: its worker may not have read the attempt that is out, a read may have ended unseen, or the
@@ -57,7 +57,7 @@
     name: str
     effect: Effect
     scope: Scope  # deduplicated only: the servers that drop repeats
-    memory: Time  # deduplicated only: how long they remember, from the first leg that may have run
+    dedup_window: Time  # deduplicated only: how long they remember, from the first leg that may have run
     slo_time: Time
     slo_per_ktok: Time  # added to slo_time for each 1,000 prompt tokens
     token_gap: Time  # SLO for the mean gap between tokens
@@ -88,7 +88,7 @@
     state: State = "ready"
     weight: float = 1.0
     started: Time | None = None  # as it is claimed, by a clock that may be wrong; None: long ago
-    told: Time | None = (
+    start_first_seen: Time | None = (
         None  # when this gateway was first told of that start; None: it was there before it came
     )
 
@@ -116,27 +116,27 @@
     shared: str | None  # the beginning that it shares with other sessions
     shared_tok: int
     prompt_tok: int
-    limit_tok: int  # the most that the answer may hold
-    hint: Time | None  # rough length of the answer as time at the product's token gap
+    max_output_tok: int  # the most that the answer may hold
+    output_time_hint: Time | None  # rough length of the answer as time at the product's token gap
     arrived: Time
-    gives_up: Time  # the client's time limit for this try
+    deadline: Time  # the client's time limit for this try
     repeat: bool  # the client says that it asks again
     resumed: bool  # comes back after a broken or moved stream
     over: bool = False  # has its final answer, or its client has left
-    given_up: GivenUp | None = None  # why the module gave it up
+    refusal_reason: RefusalReason | None = None  # why the module gave it up
     legs: list[Leg] = field(default_factory=list)
 
     def slo(self) -> Time:
         return self.product.slo_time + self.product.slo_per_ktok * self.prompt_tok // 1000
 
-    def out(self) -> bool:
+    def in_flight(self) -> bool:
         return any(leg.outcome is None for leg in self.legs)
 
-    def streamed(self) -> bool:
+    def stream_started(self) -> bool:
         """Whether a stream has begun, which lets go of all that is held."""
         return any(leg.streaming for leg in self.legs)
 
-    def ran(self) -> list[Leg]:
+    def may_have_run(self) -> list[Leg]:
         """Legs that may have had, or may yet have, their effect; at readers only those still out."""
         return [
             leg
@@ -165,8 +165,8 @@
     def cancel(self, leg: Leg) -> None: ...
     def probe(self, server: Server) -> None: ...
     def move(self, gen: Generation) -> None: ...
-    def wake(self, delay: Time, call: Callable[[Time], None]) -> None: ...
-    def tell(self, peer: int, octets: bytes) -> None: ...
+    def call_later(self, delay: Time, call: Callable[[Time], None]) -> None: ...
+    def send_to_peer(self, peer: int, octets: bytes) -> None: ...
     def subscribe(self) -> None: ...
     def log(self, text: str) -> None: ...
 
@@ -177,10 +177,10 @@
     def roster(self, now: Time, servers: list[Server], complete: bool) -> None: ...
     def roster_failed(self, now: Time) -> None: ...
     def arrived(self, now: Time, gen: Generation) -> None: ...
-    def started(self, now: Time, leg: Leg) -> None: ...
+    def stream_started(self, now: Time, leg: Leg) -> None: ...
     def ended(self, now: Time, leg: Leg, kept_tok: int, no_state: bool, report: Report | None) -> None: ...
     def departed(self, now: Time, gen: Generation) -> None: ...
-    def held(self, now: Time, gen: Generation, server: Server, granted: bool) -> None: ...
-    def keeps(self, gen: Generation) -> bool: ...  # without a leg out, while a peer is asked
-    def heard(self, now: Time, peer: int, octets: bytes) -> None: ...
-    def probed(self, now: Time, server: Server, well: bool, report: Report | None) -> None: ...
+    def hold_answered(self, now: Time, gen: Generation, server: Server, granted: bool) -> None: ...
+    def awaits_peer(self, gen: Generation) -> bool: ...  # without a leg out, while a peer is asked
+    def peer_message(self, now: Time, peer: int, octets: bytes) -> None: ...
+    def probe_answered(self, now: Time, server: Server, well: bool, report: Report | None) -> None: ...
--- a/stackpitch/platform/leases.py
+++ b/stackpitch/platform/leases.py
@@ -35,7 +35,7 @@
         answer = yield from self.host.call(server, "POST", platform.LEASES + ask.gen.name, b"")
         if answer is None or answer.status in (200, 204):  # unknown is perhaps held
             ask.held = True
-            if ask.gen.over and not ask.gen.out():
+            if ask.gen.over and not ask.gen.in_flight():
                 self.release(ask)
         return answer is not None and answer.status == 200
 
@@ -76,7 +76,7 @@
         while an attempt is out, whose state this would tear."""
         pause = release_again(bounds.release)
         yield from self.host.world.sleep(pause)
-        while ask.gen.out():
+        while ask.gen.in_flight():
             yield from self.host.world.sleep(pause)
-        if not ask.gen.streamed():
+        if not ask.gen.stream_started():
             yield from Release(self.host, ask.gen, bounds, urgent=False).run()
--- a/stackpitch/platform/leg.py
+++ b/stackpitch/platform/leg.py
@@ -22,7 +22,7 @@
 
     def __init__(self, host: "Host", ask: PlatformAsk, leg: Leg, limit: Time) -> None:
         super().__init__(host, ask, leg, limit)
-        self.ask, self.events = ask, platform.Events(parts=pacing.most_events(leg.gen.limit_tok))
+        self.ask, self.events = ask, platform.Events(parts=pacing.most_events(leg.gen.max_output_tok))
 
     def _load(self) -> str | None:
         return self.events.load or self.reader.headers.get("srv-load")
--- a/stackpitch/platform/releasing.py
+++ b/stackpitch/platform/releasing.py
@@ -45,12 +45,12 @@
         self.began, self.tries = host.world.now(), 0
         self.done_by: Server | None = None
         self.pause = host.world.scope()  # before the next try
-        self.alone = not request.out()  # what is out later has a state of its own
+        self.alone = not request.in_flight()  # what is out later has a state of its own
 
     def run(self) -> Coro[None]:
         """Until a worker has released it and all tries have ended, a stream has let go of it, or the tries are used up."""
         yield from self.host.world.group(lambda group: self._try(group, 0))
-        done = self.done_by is not None or self.request.streamed()
+        done = self.done_by is not None or self.request.stream_started()
         self.host.metrics.releases.labels("done" if done else "failed").inc()
         if not done:
             self.host.logger.warning("release_failed", generation=self.request.name, tries=self.tries)
@@ -82,9 +82,9 @@
         late = number >= QUICK_RELEASES
         with self.host.world.scope() as self.pause:
             yield from self.host.world.sleep(release_gap(number - 1, self.bounds.call))
-            while late and self.alone and self.request.out() and not self.request.streamed():
+            while late and self.alone and self.request.in_flight() and not self.request.stream_started():
                 yield from self.host.world.sleep(self.bounds.call)
-        if self.done_by is None and not (late and self.request.streamed()):
+        if self.done_by is None and not (late and self.request.stream_started()):
             yield from self._try(group, number)
 
     def _note_done(self, worker: Server) -> None:
--- a/stackpitch/preferences.py
+++ b/stackpitch/preferences.py
@@ -11,7 +11,7 @@
 from typing import Any, Literal
 from zlib import crc32
 
-from stackpitch.brain import Brain, Fleet, Guard, Holds, Seat, mix
+from stackpitch.brain import Brain, Dispatcher, Fleet, HeldState, ServerState, mix_hashes
 from stackpitch.interface import Gateway, Generation, Role, Server, Time
 
 MINUTE, DAY_MINUTES = 600_000, 1440
@@ -141,7 +141,7 @@
             if rule.how == "never" or server.role in self.roles.get(rule.name, ())
         )
 
-    def narrow(self, now: Time, gen: Generation, role: Role, seats: list[Seat]) -> list[Seat]:
+    def narrow(self, now: Time, gen: Generation, role: Role, seats: list[ServerState]) -> list[ServerState]:
         """What "prefer", "avoid" and weights leave, each as far as it leaves anything."""
         for rule in self.meeting(now, gen, hard=False):
             if role in self.roles.get(rule.name, ()):
@@ -152,28 +152,28 @@
         if heaviest is not None:
             mark = crc32((gen.session or gen.name).encode())
             seats = [
-                one for one in seats if mix(one.hash, mark) < one.server.weight / heaviest * 2**32
+                one for one in seats if mix_hashes(one.hash, mark) < one.server.weight / heaviest * 2**32
             ] or seats
         return seats
 
 
-class WeighingGuard(Guard):
+class WeighingGuard(Dispatcher):
     """The guard of the chain, with fewer servers to choose from where that leaves any."""
 
     def __init__(
-        self, fleet: Fleet, max_legs: int, max_retry_after: Time, holds: Holds, preferences: Preferences
+        self, fleet: Fleet, max_legs: int, max_retry_after: Time, holds: HeldState, preferences: Preferences
     ) -> None:
         super().__init__(fleet, max_legs, max_retry_after, holds)
         self.preferences = preferences
 
-    def open(self, role: Role, now: Time, gen: Generation) -> list[Seat]:
-        return self.preferences.narrow(now, gen, role, super().open(role, now, gen))
+    def candidates(self, role: Role, now: Time, gen: Generation) -> list[ServerState]:
+        return self.preferences.narrow(now, gen, role, super().candidates(role, now, gen))
 
 
 class RuledGuard(WeighingGuard):
     """With "only" and "never" as well, which bind every leg."""
 
-    ALIKE = False
+    UNIFORM_CHECK = False
 
     def may_send(self, now: Time, gen: Generation, server: Server) -> bool:
         return super().may_send(now, gen, server) and self.preferences.may(now, gen, server)
@@ -188,21 +188,21 @@
 
     def prefer(self, preferences: Preferences) -> None:
         """Takes other rules, from the next decision on. What is under way stays as it is."""
-        self.preferences, old = preferences, self.guard
+        self.preferences, old = preferences, self.dispatcher
         kind = RuledGuard if preferences.hard else WeighingGuard
-        self.guard = kind(self.fleet, old.max_legs, old.max_retry_after, old.holds, preferences)
-        for stage in (self.admission, self.owner, self.reader, self.writer):
-            stage.guard = self.guard
-        preferences.listed(self.fleet.seats)
+        self.dispatcher = kind(self.fleet, old.max_legs, old.max_retry_after, old.held_state, preferences)
+        for stage in (self.admission, self.affinity, self.reader, self.writer):
+            stage.dispatcher = self.dispatcher
+        preferences.listed(self.fleet.server_states)
 
     def continue_cold_turns(self, before: "RuledBrain") -> None:
         """Counts cold servers' turns on from where the module before stands, which draws none any more. Guards rule 4: two
         modules at once, or one made anew again and again, would each send a cold server a budget of its own."""
-        turns = {server.name: seat.turn for server, seat in before.fleet.seats.items()}
-        for server, seat in self.fleet.seats.items():
-            seat.turn = turns.get(server.name, seat.turn)
-        before.fleet.cold_load = 0.0
+        turns = {server.name: seat.admission_credit for server, seat in before.fleet.server_states.items()}
+        for server, seat in self.fleet.server_states.items():
+            seat.admission_credit = turns.get(server.name, seat.admission_credit)
+        before.fleet.cold_budget = 0.0
 
     def roster(self, now: Time, servers: list[Server], complete: bool) -> None:
         super().roster(now, servers, complete)
-        self.preferences.listed(self.fleet.seats)
+        self.preferences.listed(self.fleet.server_states)
--- a/stackpitch/rehearse/broken/gateways.py
+++ b/stackpitch/rehearse/broken/gateways.py
@@ -1,6 +1,6 @@
 """One break for each of the five rules."""
 
-from stackpitch.brain import Fleet, Guard
+from stackpitch.brain import Dispatcher, Fleet
 from stackpitch.gateway.ask import Ask, OpenAsk
 from stackpitch.gateway.engines import Engines
 from stackpitch.gateway.roster import Roster
@@ -36,7 +36,7 @@
     def none(self: Generation) -> list[Leg]:
         return []
 
-    Guard.ran = staticmethod(none)
+    Dispatcher.may_have_run = staticmethod(none)
 
 
 def drains() -> None:
@@ -53,7 +53,7 @@
 
 def cold() -> None:
     """Every server is taken to be warm."""
-    Fleet.cold = lambda self, seat, now: False  # type: ignore[method-assign]
+    Fleet.is_cold = lambda self, seat, now: False  # type: ignore[method-assign]
 
 
 def pinned() -> None:
--- a/tests/platform_expect.py
+++ b/tests/platform_expect.py
@@ -126,19 +126,21 @@
         assert self.child.code() == int(code), f"exit {self.child.code()}"
 
     def seat(self, name: str) -> Any:
-        return next(seat for server, seat in self.host.brain.fleet.seats.items() if server.name == name)
+        return next(
+            seat for server, seat in self.host.brain.fleet.server_states.items() if server.name == name
+        )
 
     def expect_believes(self, name: str, held: str) -> None:
         """What others hold and we hold together, as the last report had it."""
         seat, server = self.seat(name), next(one for one in self.host.roster.addresses if one.name == name)
-        assert isinstance(server, Server) and abs(seat.others - float(held)) < 0.02, (
-            f"others hold {seat.others:.3f}"
+        assert isinstance(server, Server) and abs(seat.peer_share - float(held)) < 0.02, (
+            f"others hold {seat.peer_share:.3f}"
         )
 
     def expect_servers(self, *names: str, seats: str | None = None) -> None:
         """`seats`: those that the module in force knows, where one from before has others."""
         found = [one.name for one in self.host.roster.addresses]
-        known = [one.name for one in self.host.brain.fleet.seats]
+        known = [one.name for one in self.host.brain.fleet.server_states]
         wanted = sorted(names) if seats is None else seats.split(",")
         assert sorted(found) == sorted(names) and sorted(known) == wanted, f"servers {found}, seats {known}"
 
@@ -179,11 +181,11 @@
         sizes = {
             "asks": len(host.asks),
             "pools": len(host.pools),
-            "seats": len(brain.fleet.seats),
-            "pinned": len(brain.holds.since),
-            "plan": len(brain.writer.plan),
+            "seats": len(brain.fleet.server_states),
+            "pinned": len(brain.held_state.held_since),
+            "plan": len(brain.writer.planned_writers),
             "waiting": len(self.door.waiting),
-            "owners": len(brain.owner.table),
+            "owners": len(brain.affinity.entries),
             "servers": len(host.roster.servers),
             "timers": len(self.world.timers),
         }
@@ -234,7 +236,7 @@
             "product": of.name,
             "effect": of.effect,
             "scope": of.scope,
-            "memory": of.memory // MS,
+            "memory": of.dedup_window // MS,
             "slo": of.slo_time // MS,
             "gap": of.token_gap // MS,
             "limit": of.time_limit // MS,
@@ -261,7 +263,7 @@
     def expect_server(self, name: str, role: str, memory: str) -> None:
         one = self.host.roster.servers[name]
         assert (one.role, one.memory_tok) == (role, int(memory)), f"{one.role} {one.memory_tok}"
-        assert one in self.host.brain.fleet.seats, "the module does not know it"
+        assert one in self.host.brain.fleet.server_states, "the module does not know it"
 
     def expect_reused(self, name: str, least: str) -> None:
         pool = self.host.pools[self.host.roster.servers[name]]
@@ -273,7 +275,7 @@
             1500, lambda: not host.asks and not host.calls, lambda: f"{len(host.asks)} asks left"
         )
         yield from self.world.sleep(20 * MS)
-        assert not host.brain.holds.since and not host.brain.writer.plan
+        assert not host.brain.held_state.held_since and not host.brain.writer.planned_writers
         assert not host.earlier, "generations of an earlier module are left"
         assert all(one.open == len(one.idle) for one in host.pools.values()), "a connection is lost"
         assert host.budget.open == sum(one.open for one in host.pools.values()), "the budget is out"
--- a/tests/play.py
+++ b/tests/play.py
@@ -89,14 +89,14 @@
     def probe(self, server):
         self.asked.append(f"probe {server.name}")
 
-    def tell(self, peer, octets):
+    def send_to_peer(self, peer, octets):
         self.words.append(octets)
         self.asked.append(f"tell {peer} {WORDS[octets[:1]]}")
 
     def subscribe(self):
         self.asked.append("subscribe")
 
-    def wake(self, delay, call):
+    def call_later(self, delay, call):
         self.timers.append((self.now + delay, call))
 
     def log(self, text):
@@ -215,7 +215,7 @@
 
     def do_start(self, name):
         self.leg(name).streaming = True
-        self.brain.started(self.now, self.leg(name))
+        self.brain.stream_started(self.now, self.leg(name))
 
     def do_end(self, name, outcome, kept="0", no_state="0", held=None, over=None):
         leg = self.leg(name)
@@ -226,24 +226,30 @@
     def do_heard(self, peer, what, name="", server=None, tok="1000", age="0", held="0"):
         brain, kind = self.brain, next((one for one, word in WORDS.items() if word == what), b"~")
         entry = (
-            brain.home.ENTRY.pack(brain.fleet.seats[self.servers[server]].hash, int(tok), int(age))
+            brain.affinity_directory.ENTRY.pack(
+                brain.fleet.server_states[self.servers[server]].hash, int(tok), int(age)
+            )
             if server
             else b""
         )
-        means = brain.fleet.mark + bytes(2) + bytes([int(float(held) * 100)] * len(brain.fleet.order))
-        key = brain.owner.key(self.gens[name]) if name else b""
-        brain.heard(self.now, int(peer), kind + key + entry + means)
+        means = (
+            brain.fleet.list_digest + bytes(2) + bytes([int(float(held) * 100)] * len(brain.fleet.ordered))
+        )
+        key = brain.affinity.session_key(self.gens[name]) if name else b""
+        brain.peer_message(self.now, int(peer), kind + key + entry + means)
 
     def do_probed(self, server, held=None, times="1"):
         for _ in range(int(times)):
-            self.brain.probed(self.now, self.servers[server], True, Report(float(held)) if held else None)
+            self.brain.probe_answered(
+                self.now, self.servers[server], True, Report(float(held)) if held else None
+            )
 
     def do_depart(self, name):
         self.gens[name].over = True
         self.brain.departed(self.now, self.gens[name])
 
     def do_granted(self, name, server):
-        self.brain.held(self.now, self.gens[name], self.servers[server], True)
+        self.brain.hold_answered(self.now, self.gens[name], self.servers[server], True)
 
     def do_fail(self):
         self.brain.roster_failed(self.now)
--- a/tests/serving_model.py
+++ b/tests/serving_model.py
@@ -85,7 +85,7 @@
     def terminate(self, gen: Generation) -> None:
         self.model.over(gen, "terminated")
 
-    def wake(self, delay: Time, call: Callable[[Time], None]) -> None:
+    def call_later(self, delay: Time, call: Callable[[Time], None]) -> None:
         self.model.at(self.model.now + delay, lambda: call(self.model.now))
 
     def cancel(self, leg: Leg) -> None: ...
@@ -93,7 +93,7 @@
     def hold(self, gen: Generation, server: Server) -> None: ...
     def probe(self, server: Server) -> None: ...
     def move(self, gen: Generation) -> None: ...
-    def tell(self, peer: int, octets: bytes) -> None: ...
+    def send_to_peer(self, peer: int, octets: bytes) -> None: ...
     def subscribe(self) -> None: ...
     def log(self, text: str) -> None: ...
 
@@ -189,7 +189,7 @@
         )
         self.day.requests.append(request)
         self.of[gen] = request
-        self.at(gen.gives_up, lambda: self.gives_up(number, gen))
+        self.at(gen.deadline, lambda: self.gives_up(number, gen))
         self.brains[number].arrived(self.now, gen)
 
     def gives_up(self, number: int, gen: Generation) -> None:
@@ -245,7 +245,7 @@
         else:
             attempt.begun = leg.streaming = True
             self.of[gen].first_token = self.now
-            self.brains[attempt.number].started(self.now, leg)
+            self.brains[attempt.number].stream_started(self.now, leg)
             self.at(self.now + 30 * CHAT.token_gap, lambda: self.streamed(attempt))
 
     def streamed(self, attempt: Attempt) -> None:
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -35,7 +35,7 @@
 
 import msgspec
 
-from stackpitch.brain import Home
+from stackpitch.brain import AffinityDirectory
 from stackpitch.gateway import logs
 from stackpitch.gateway.admin import Admin
 from stackpitch.gateway.door import Door
@@ -277,10 +277,10 @@
         def heard(asked: Any) -> Coro[tuple[int, bytes]]:
             yield from ()
             word = bytes.fromhex(asked["word"])
-            if word[:1] == Home.ASK and how != "silent":
+            if word[:1] == AffinityDirectory.ASK and how != "silent":
                 self.asked += 1
-                entry = Home.ENTRY.pack(crc32(server.encode()), 10, 0) if server else b""
-                kind = Home.KNOWN if server else Home.UNKNOWN
+                entry = AffinityDirectory.ENTRY.pack(crc32(server.encode()), 10, 0) if server else b""
+                kind = AffinityDirectory.KNOWN if server else AffinityDirectory.UNKNOWN
                 self.group.spawn(self.do_word("1", (kind + word[1:9] + entry).hex()), "answer")
             return 200, b"{}"
 
@@ -555,5 +555,5 @@
         yield from self.until(
             1500, lambda: not gateway.asks and not gateway.calls, lambda: f"{len(gateway.asks)} asks left"
         )
-        assert not gateway.brain.holds.since and not gateway.brain.writer.plan
+        assert not gateway.brain.held_state.held_since and not gateway.brain.writer.planned_writers
         assert all(pool.open == len(pool.idle) for pool in gateway.pools.values()), "a connection is lost"
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -53,7 +53,9 @@
         self.fleet.update(self.world.now(), servers, False)
 
     def warmth(self, name: str) -> float:
-        return self.fleet.warmth(self.fleet.seats[self.roster.servers[name]], self.world.now())
+        return self.fleet.capacity_share(
+            self.fleet.server_states[self.roster.servers[name]], self.world.now()
+        )
 
 
 def expected(age: Time) -> float:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -3,7 +3,7 @@
 import pytest
 
 from benchmarks.decisions import CASES, World
-from stackpitch.brain import Guard
+from stackpitch.brain import Dispatcher
 
 BY_NAME = {case.name: case for case in CASES}
 
@@ -17,5 +17,5 @@
 @pytest.mark.parametrize("name", ["reports", "peers-zones", "zones-mixed", "stormy"])
 def test_servers_asked_each_and_one_for_all_decide_alike(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     fast = lines(name)
-    monkeypatch.setattr(Guard, "ALIKE", False)
+    monkeypatch.setattr(Dispatcher, "UNIFORM_CHECK", False)
     assert len(fast) > 300 and lines(name) == fast
--- a/tests/test_expect.py
+++ b/tests/test_expect.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stackpitch.brain import Brain, Guard
+from stackpitch.brain import Brain, Dispatcher
 from stackpitch.cli.expect import books, configuration
 from stackpitch.expect import mutate, report
 from stackpitch.expect import syntax as s
@@ -398,11 +398,11 @@
 # The dry world sees breaches: modules broken on purpose, one rule each.
 
 
-class Twice(Guard):
-    ran = staticmethod(lambda gen: [])
+class Twice(Dispatcher):
+    may_have_run = staticmethod(lambda gen: [])
 
 
-class Blind(Guard):
+class Blind(Dispatcher):
     def may_send(self, now, gen, server):
         return (
             not gen.over
@@ -411,8 +411,8 @@
         )
 
 
-class Mute(Guard):
-    def answer(self, gen, why):
+class Mute(Dispatcher):
+    def refuse(self, gen, why):
         pass
 
 
@@ -420,23 +420,23 @@
     def make(gateway, seed, preferences, **arguments):
         brain = RuledBrain(gateway, seed, preferences, **arguments)
         if guard is not None:
-            old = brain.guard
-            brain.guard = guard(brain.fleet, old.max_legs, old.max_retry_after, old.holds)
-            for stage in (brain.admission, brain.owner, brain.reader, brain.writer):
-                stage.guard = brain.guard
+            old = brain.dispatcher
+            brain.dispatcher = guard(brain.fleet, old.max_legs, old.max_retry_after, old.held_state)
+            for stage in (brain.admission, brain.affinity, brain.reader, brain.writer):
+                stage.dispatcher = brain.dispatcher
         if keeps:
-            brain.holds.release = brain.holds._due = lambda *_: None
+            brain.held_state.release = brain.held_state._due = lambda *_: None
         if eager:
-            brain.fleet.draw = lambda seat, now, gen: setattr(seat, "drawn", gen) or True
-            brain.fleet.held_share = lambda seat, now, usual: 0.0 if brain.fleet.cold(seat, now) else 0.5
+            brain.fleet.admit_cold = lambda seat, now, gen: setattr(seat, "admitted_gen", gen) or True
+            brain.fleet.held_share = lambda seat, now, usual: 0.0 if brain.fleet.is_cold(seat, now) else 0.5
         if drains:
             update = brain.fleet.update
 
             def late(now, servers, complete):
                 update(now, servers, complete)
-                for role in brain.fleet.roles:
-                    brain.fleet.roles[role] = [
-                        one for one in brain.fleet.seats.values() if one.server.role == role
+                for role in brain.fleet.by_role:
+                    brain.fleet.by_role[role] = [
+                        one for one in brain.fleet.server_states.values() if one.server.role == role
                     ]
 
             brain.fleet.update = late
--- a/tests/test_fair_refusals.py
+++ b/tests/test_fair_refusals.py
@@ -94,7 +94,7 @@
     def sheds(admission: Admission, now: Time, gen: Generation, cost: float) -> bool:
         refused = unfair(gen)
         if refused:
-            admission.guard.answer(gen, "overload")
+            admission.dispatcher.refuse(gen, "overload")
         return refused
 
     monkeypatch.setattr(Admission, "sheds", sheds)
--- a/tests/test_mixed_workers.py
+++ b/tests/test_mixed_workers.py
@@ -42,47 +42,47 @@
 
 def waited(of: Fleet, role: Role, wait: int, times: int = 1) -> None:
     """Attempts at the first worker of that role waited so long, the last one until now."""
-    server = of.roles[role][0].server
+    server = of.by_role[role][0].server
     for number in range(times):
-        of.met(Leg(request(f"{role}{number}"), 0, server, SECOND), SECOND + wait, wait)
+        of.record_wait(Leg(request(f"{role}{number}"), 0, server, SECOND), SECOND + wait, wait)
 
 
 @pytest.mark.parametrize("role", ["reader", "mixed"])
 def test_a_long_wait_at_a_worker_sends_the_next_request_elsewhere(role: Role) -> None:
     of = fleet([role, role, "writer"])
-    slow, other = of.roles[role]
-    before = of.wait_tok(slow, SECOND, request("a"))
+    slow, other = of.by_role[role]
+    before = of.queued_tok(slow, SECOND, request("a"))
     waited(of, role, 4 * SECOND)
-    assert of.wait_tok(slow, 5 * SECOND, request("a")) > before + 1000
-    assert of.wait_tok(other, 5 * SECOND, request("a")) == before
-    assert of.wait_tok(slow, 15 * SECOND, request("a")) == before, "it is forgotten after ten seconds"
+    assert of.queued_tok(slow, 5 * SECOND, request("a")) > before + 1000
+    assert of.queued_tok(other, 5 * SECOND, request("a")) == before
+    assert of.queued_tok(slow, 15 * SECOND, request("a")) == before, "it is forgotten after ten seconds"
 
 
 @pytest.mark.parametrize("role", ["reader", "mixed"])
 def test_where_peers_tell_of_queues_their_messages_count_instead(role: Role) -> None:
     of = fleet([role, role, "writer"], peers=True)
-    before = of.wait_tok(of.roles[role][0], 5 * SECOND, request("a"))
+    before = of.queued_tok(of.by_role[role][0], 5 * SECOND, request("a"))
     waited(of, role, 4 * SECOND)
-    assert of.wait_tok(of.roles[role][0], 5 * SECOND, request("a")) == before
+    assert of.queued_tok(of.by_role[role][0], 5 * SECOND, request("a")) == before
 
 
 def test_the_better_of_two_ways_is_expected() -> None:
     of = fleet(["reader", "writer", "mixed"])
     waited(of, "mixed", 2 * SECOND, times=30)
-    assert of.expected(3 * SECOND, request("a")) == 0
+    assert of.expected_first_token(3 * SECOND, request("a")) == 0
     waited(of, "reader", SECOND, times=30)
-    assert 0.8 * SECOND < of.expected(3 * SECOND, request("a")) < 1.1 * SECOND
+    assert 0.8 * SECOND < of.expected_first_token(3 * SECOND, request("a")) < 1.1 * SECOND
 
 
 @pytest.mark.parametrize("roles", [["mixed"], ["reader", "mixed"], ["writer", "mixed"]], ids=" and ".join)
 def test_waits_at_mixed_workers_are_expected_where_there_is_no_other_way(roles: list[Role]) -> None:
     of = fleet(roles)
     waited(of, "mixed", 2 * SECOND, times=30)
-    assert of.expected(3 * SECOND, request("a")) > 1.9 * SECOND
+    assert of.expected_first_token(3 * SECOND, request("a")) > 1.9 * SECOND
 
 
 def test_waits_at_prefill_and_decode_workers_add_up_where_there_are_no_mixed_ones() -> None:
     of = fleet(["reader", "writer"])
     waited(of, "reader", SECOND, times=30)
     waited(of, "writer", SECOND, times=30)
-    assert of.expected(2 * SECOND, request("a")) > 1.8 * SECOND
+    assert of.expected_first_token(2 * SECOND, request("a")) > 1.8 * SECOND
--- a/tests/test_releasing.py
+++ b/tests/test_releasing.py
@@ -20,10 +20,10 @@
 
     name, legs, attempts_out, streams = "x", list[Any](), False, False
 
-    def out(self) -> bool:
+    def in_flight(self) -> bool:
         return self.attempts_out
 
-    def streamed(self) -> bool:
+    def stream_started(self) -> bool:
         return self.streams
 
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -28,14 +28,16 @@
         play.line(f"with peers=1 gateways=1024 number={number}")
         play.line("fleet " + " ".join(f"r{one} w{one}" for one in range(512)))
     told, heard = (play.brain.fleet for play in plays)
-    for place, seat in enumerate(told.order):
-        seat.mean = place % 200 / 100 / 1024
-    words = [told.speak(0) for _ in range(6)]
-    heard.hear(0, words[0])
-    assert 0 < len(heard.others) and max(len(word) for word in words) + 9 + 10 <= PEER_WORD
+    for place, seat in enumerate(told.ordered):
+        seat.mean_share = place % 200 / 100 / 1024
+    words = [told.encode_means(0) for _ in range(6)]
+    heard.merge_means(0, words[0])
+    assert 0 < len(heard.peer_held) and max(len(word) for word in words) + 9 + 10 <= PEER_WORD
     for word in words[1:]:
-        heard.hear(0, word)
-    assert [round(seat.mean * 1024 * 100) for seat in heard.order] == [place % 200 for place in range(1024)]
+        heard.merge_means(0, word)
+    assert [round(seat.mean_share * 1024 * 100) for seat in heard.ordered] == [
+        place % 200 for place in range(1024)
+    ]
 
 
 def read_at(play: Play, name: str, text: str, session: str) -> str:
@@ -84,4 +86,4 @@
         )
         > 1
     )
-    assert [seat.own for seat in play.brain.fleet.seats.values()] == [0] * 7
+    assert [seat.own_tok for seat in play.brain.fleet.server_states.values()] == [0] * 7
--- a/tests/test_settings_isolation.py
+++ b/tests/test_settings_isolation.py
@@ -204,7 +204,7 @@
         def noted_send(gen: Generation, server: Listed, limit: int) -> Any:
             facts = [
                 gen.product.effect,
-                gen.product.memory,
+                gen.product.dedup_window,
                 gen.customer and gen.customer.quota_per_s,
                 gen.slo(),
             ]
@@ -359,7 +359,7 @@
         product = next(one for one in settings["classes"] if one["name"] == gen.product.name)
         effect = EFFECTS[product["effect"]]
         assert gen.product.effect == effect and len(gen.legs) < settings["bounds"]["maxAttempts"]
-        ran = gen.ran()
+        ran = gen.may_have_run()
         if effect == "side-effecting":
             assert not ran, "sent again"
         elif effect == "deduplicated" and ran:
@@ -556,8 +556,8 @@
     """Looks its reader up; all that is looked up gets done."""
     fleet = brain.fleet
     usable = fleet.usable("reader", now, gen)
-    lookups_by_warmth, _ = fleet.size["reader"]
-    fleet.borne["reader"] = lookups_by_warmth / max(0.1, fleet.warm["reader"])
+    lookups_by_warmth, _ = fleet.lookup_capacity["reader"]
+    fleet.legs_done["reader"] = lookups_by_warmth / max(0.1, fleet.warm_capacity["reader"])
     return cold in [seat.server for seat in usable]
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -127,13 +127,18 @@
     counts = set()
     for name in (f"c{one}" for one in range(12)):
         fleets = [looked_up(number, 200, 4, [name], number * 7 % 21 - SECOND) for number in range(200)]
-        counts.add(sum(one.drawn is not None for fleet in fleets for one in fleet.seats.values()))
+        counts.add(
+            sum(one.admitted_gen is not None for fleet in fleets for one in fleet.server_states.values())
+        )
     assert max(counts) - min(counts) <= 1
 
 
 def test_a_restarted_gateway_that_finds_all_cold_takes_them_to_have_been_warm_and_little_to_be_done() -> None:
     cold = [f"c{one}" for one in range(10)]
-    once, twice = (next(iter(looked_up(0, 30, 0, cold, 0, times).seats.values())).turn[1] for times in (1, 2))
+    once, twice = (
+        next(iter(looked_up(0, 30, 0, cold, 0, times).server_states.values())).admission_credit[1]
+        for times in (1, 2)
+    )
     assert 0.01 < (twice - once) % 1 < 0.02
 
 
@@ -162,15 +167,17 @@
         self.fleet.usable("reader", self.now, self.generation())
 
     def done(self, server: Server) -> None:
-        self.fleet.word(self.fleet.seats[server], self.now, Leg(self.generation(), 0, server, self.now))
+        self.fleet.record_success(
+            self.fleet.server_states[server], self.now, Leg(self.generation(), 0, server, self.now)
+        )
 
     def part(self, wait: Time) -> float:
         """Of its lookups that goes to the cold server."""
         self.now += wait
         self.look_up()
-        before = self.fleet.seats[self.cold].turn[1]
+        before = self.fleet.server_states[self.cold].admission_credit[1]
         self.look_up()
-        return (self.fleet.seats[self.cold].turn[1] - before) % 1
+        return (self.fleet.server_states[self.cold].admission_credit[1] - before) % 1
 
 
 FAIR = 0.6 * 3.0 * 0.3 / 40  # what a warm server was known to do, by what a cold one may be sent of it
--- a/tests/traffic.py
+++ b/tests/traffic.py
@@ -74,12 +74,14 @@
             )
             self.later(*((done, "read") if done <= self.now + limit else (self.now + limit, "time-out")), leg)
         else:
-            tok = gen.prompt_tok + int(GROWTH * gen.limit_tok)
+            tok = gen.prompt_tok + int(GROWTH * gen.max_output_tok)
             self.held[server] += tok
             self.fullest = max(self.fullest, self.share(server))
             self.later(self.now + START, "start", leg)
             self.later(
-                self.now + START + int(GROWTH * gen.limit_tok) * gen.product.token_gap // 2, "streamed", leg
+                self.now + START + int(GROWTH * gen.max_output_tok) * gen.product.token_gap // 2,
+                "streamed",
+                leg,
             )
         return leg
 
@@ -113,12 +115,12 @@
             if what == "start":
                 self.first.setdefault(leg.gen, self.now)
                 leg.streaming = True
-                self.brain.started(self.now, leg)
+                self.brain.stream_started(self.now, leg)
                 continue
             leg.outcome = what  # type: ignore[assignment]
             leg.gen.over = leg.gen.over or what == "streamed"
             if leg.server.role == "writer":
-                self.held[leg.server] -= leg.gen.prompt_tok + int(GROWTH * leg.gen.limit_tok)
+                self.held[leg.server] -= leg.gen.prompt_tok + int(GROWTH * leg.gen.max_output_tok)
             report = Report(self.share(leg.server)) if leg.server.name in self.others else None
             self.brain.ended(self.now, leg, self.finds.pop(leg, 0), False, report)
 
@@ -197,7 +199,7 @@
 
     def expect_in_time(self, product: str, least: str) -> None:
         mine = [gen for gen in self.crowd if gen.product.name == product]
-        good = sum(self.first.get(gen, gen.gives_up) - gen.arrived <= gen.slo() for gen in mine)
+        good = sum(self.first.get(gen, gen.deadline) - gen.arrived <= gen.slo() for gen in mine)
         assert good >= float(least) * len(mine), f"{good} of {len(mine)} were in time"
 
     def expect_full(self, most: str) -> None:
