--- a/soak/mutants/answers.py
+++ b/soak/mutants/answers.py
@@ -8,8 +8,8 @@
 from soak.mutants.acting import Mutant, acted, every, patch
 from stackpitch.gateway import leg as attempts
 from stackpitch.loop import MS, SECOND, Lost, Time
-from stackpitch.platform.ask import PlatformAsk
 from stackpitch.platform.leg import PlatformLeg
+from stackpitch.platform.request import PlatformRequest
 from stackpitch.wire import http
 
 OWN_ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n"
@@ -29,7 +29,7 @@
 
 
 def _close_instead(due: Callable[[], bool]) -> None:
-    refuse = PlatformAsk.refuse
+    refuse = PlatformRequest.refuse
 
     def close(self: Any, *args: Any, **fields: Any) -> None:
         if self.answered or not due():
@@ -41,7 +41,7 @@
         if self.client is not None:
             self.client.close()
 
-    patch(PlatformAsk, "refuse", close)
+    patch(PlatformRequest, "refuse", close)
 
 
 def unanswered() -> None:
@@ -56,7 +56,7 @@
 
 def late_refusals() -> None:
     """Refusals come 0.9 s after the request's time."""
-    refuse = PlatformAsk.refuse
+    refuse = PlatformRequest.refuse
 
     def late(self: Any, *args: Any, **fields: Any) -> None:
         client = self.client
@@ -66,12 +66,12 @@
             self._put = partial(_write_later, client, at)
         refuse(self, *args, **fields)
 
-    patch(PlatformAsk, "refuse", late)
+    patch(PlatformRequest, "refuse", late)
 
 
 def second_answer() -> None:
     """An answer of its own follows a whole stream."""
-    finish = PlatformAsk.finish
+    finish = PlatformRequest.finish
 
     def more(self: Any) -> None:
         finish(self)
@@ -79,12 +79,12 @@
             acted()
             self._put(OWN_ANSWER)
 
-    patch(PlatformAsk, "finish", more)
+    patch(PlatformRequest, "finish", more)
 
 
 def second_refusal() -> None:
     """Another answer follows one refusal in nine."""
-    refuse, due = PlatformAsk.refuse, every(RARE)
+    refuse, due = PlatformRequest.refuse, every(RARE)
 
     def more(self: Any, *args: Any, **fields: Any) -> None:
         answered = self.answered
@@ -93,7 +93,7 @@
             acted()
             self._put(OWN_ANSWER)
 
-    patch(PlatformAsk, "refuse", more)
+    patch(PlatformRequest, "refuse", more)
 
 
 def whole_though_broken() -> None:
@@ -104,12 +104,12 @@
             acted()
         self.finish()
 
-    patch(PlatformAsk, "break_off", end)
+    patch(PlatformRequest, "break_off", end)
 
 
 def cut_stream() -> None:
     """A stream is cut off at one piece in twenty, while its worker writes."""
-    pass_on, due = PlatformAsk.pass_on, every(CUT_PIECE)
+    pass_on, due = PlatformRequest.pass_on, every(CUT_PIECE)
 
     def cut(self: Any, pieces: Any) -> bool:
         if not due():
@@ -118,7 +118,7 @@
         self.break_off("cut", "")
         return False
 
-    patch(PlatformAsk, "pass_on", cut)
+    patch(PlatformRequest, "pass_on", cut)
 
 
 def late_end() -> None:
@@ -132,7 +132,7 @@
             acted()
             _write_later(self.client, self.client.world.now() + LATE_END, http.LAST_CHUNK)
 
-    patch(PlatformAsk, "finish", late)
+    patch(PlatformRequest, "finish", late)
 
 
 def _hold_back(held: Callable[[Any], bool]) -> None:
@@ -168,7 +168,7 @@
 
 
 def _retry_after(changed: Callable[[Time], Time]) -> None:
-    refuse = PlatformAsk.refuse
+    refuse = PlatformRequest.refuse
 
     def refuse_else(
         self: Any, status: int, code: str, message: str, again: bool, retry_after: Time = 0
@@ -177,7 +177,7 @@
             acted()
         refuse(self, status, code, message, again, changed(retry_after))
 
-    patch(PlatformAsk, "refuse", refuse_else)
+    patch(PlatformRequest, "refuse", refuse_else)
 
 
 def long_retry_after() -> None:
--- a/soak/mutants/content.py
+++ b/soak/mutants/content.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from soak.mutants.acting import Mutant, acted, every, patch
-from stackpitch.platform.ask import PlatformAsk
+from stackpitch.platform.request import PlatformRequest
 
 RARE = 9  # one piece in so many
 LAST_OF_CONTENT = re.compile(rb'("content": ?"[^"]+)[^"]"')
@@ -16,7 +16,7 @@
 
 def _pass_on(changed: Callable[[Any, Sequence[bytes]], Sequence[bytes] | None]) -> None:
     """`changed`: what is passed on in place of a piece, None for the piece itself."""
-    pass_on: PassOn = PlatformAsk.pass_on
+    pass_on: PassOn = PlatformRequest.pass_on
 
     def other(self: Any, pieces: Sequence[bytes]) -> bool:
         instead = changed(self, pieces)
@@ -25,7 +25,7 @@
         acted()
         return pass_on(self, instead) if instead else True
 
-    patch(PlatformAsk, "pass_on", other)
+    patch(PlatformRequest, "pass_on", other)
 
 
 def lost_events() -> None:
@@ -85,7 +85,7 @@
 
 def own_event() -> None:
     """An event that no worker has written ends one stream in nine."""
-    finish, due = PlatformAsk.finish, every(RARE)
+    finish, due = PlatformRequest.finish, every(RARE)
 
     def more(self: Any) -> None:
         if not self.answered and due():
@@ -93,7 +93,7 @@
             self.pass_on([OWN_EVENT])
         finish(self)
 
-    patch(PlatformAsk, "finish", more)
+    patch(PlatformRequest, "finish", more)
 
 
 MUTANTS = {
--- a/soak/mutants/held.py
+++ b/soak/mutants/held.py
@@ -8,23 +8,23 @@
 from stackpitch.gateway.ask import DEPARTED
 from stackpitch.gateway.leg import LegRun
 from stackpitch.loop import MS, Coro
-from stackpitch.platform.leases import Servers
 from stackpitch.platform.releasing import Release
+from stackpitch.platform.server_client import PlatformServerClient
 
 LATE, WAY = 900 * MS, 100 * MS
 
 
 def _forget(forgotten: Callable[[Any], bool]) -> None:
     """`forgotten`: asked of each request that may hold something."""
-    release = Servers._release
+    release = PlatformServerClient._release
 
     def forget(self: Any, ask: Any) -> None:
-        if (ask.held or ask.doubt) and forgotten(ask):
+        if (ask.may_hold_state or ask.read_outcome_unknown) and forgotten(ask):
             acted()
         else:
             release(self, ask)
 
-    patch(Servers, "_release", forget)
+    patch(PlatformServerClient, "_release", forget)
 
 
 def forgotten_release() -> None:
@@ -45,26 +45,26 @@
 
 def forgotten_doubt() -> None:
     """What a read may have left unseen is not released."""
-    _forget(lambda ask: not ask.held)
+    _forget(lambda ask: not ask.may_hold_state)
 
 
 def late_release() -> None:
     """Each release begins 0.9 s late."""
-    release = Servers._release
+    release = PlatformServerClient._release
 
     def later(self: Any, ask: Any) -> None:
-        if not (ask.held or ask.doubt):
+        if not (ask.may_hold_state or ask.read_outcome_unknown):
             return
         acted()
-        held, doubt = ask.held, ask.doubt
+        held, doubt = ask.may_hold_state, ask.read_outcome_unknown
 
         def now() -> None:
-            ask.held, ask.doubt = held, doubt
+            ask.may_hold_state, ask.read_outcome_unknown = held, doubt
             release(self, ask)
 
         self.host.world.at(self.host.world.now() + LATE, now)
 
-    patch(Servers, "_release", later)
+    patch(PlatformServerClient, "_release", later)
 
 
 def single_try() -> None:
--- a/soak/mutants/process.py
+++ b/soak/mutants/process.py
@@ -7,9 +7,9 @@
 from soak.mutants.acting import Mutant, acted, patch
 from stackpitch.loop import MS, SECOND, Coro
 from stackpitch.platform import serve as serving
-from stackpitch.platform.ask import PlatformAsk
-from stackpitch.platform.door import PlatformDoor
-from stackpitch.platform.reloading import Reloading
+from stackpitch.platform.listener import PlatformListener
+from stackpitch.platform.reloading import Reloader
+from stackpitch.platform.request import PlatformRequest
 
 EARLY_END = 900 * MS  # after SIGTERM
 SLOW_READY = 11 * SECOND
@@ -19,19 +19,19 @@
 
 def late_requests() -> None:
     """A gateway that stops takes requests for as long as a connection is open."""
-    takes_until = PlatformDoor._takes_until
+    takes_until = PlatformListener._takes_until
 
     def always(self: Any) -> None:
         if takes_until(self) is not None:
             acted()
 
-    patch(PlatformDoor, "_takes_until", always)
+    patch(PlatformListener, "_takes_until", always)
 
 
 def late_requests_after_reload() -> None:
     """The same, but only where a configuration was read anew before."""
-    reload, takes_until = Reloading.reload, PlatformDoor._takes_until
-    reloaded: set[PlatformDoor] = set()
+    reload, takes_until = Reloader.reload, PlatformListener._takes_until
+    reloaded: set[PlatformListener] = set()
 
     def note(self: Any) -> None:
         reload(self)
@@ -44,13 +44,13 @@
         acted()
         return None
 
-    patch(Reloading, "reload", note)
-    patch(PlatformDoor, "_takes_until", until)
+    patch(Reloader, "reload", note)
+    patch(PlatformListener, "_takes_until", until)
 
 
 def early_end() -> None:
     """The process ends itself 0.9 s after SIGTERM, whatever it has taken."""
-    close_idle = PlatformDoor.close_idle
+    close_idle = PlatformListener.close_idle
 
     def end(door: Any) -> None:
         if door.host.asks:
@@ -62,7 +62,7 @@
             self.world.at(self.world.now() + EARLY_END, lambda: end(self))
         close_idle(self)
 
-    patch(PlatformDoor, "close_idle", close)
+    patch(PlatformListener, "close_idle", close)
 
 
 def slow_ready() -> None:
@@ -83,7 +83,7 @@
 
 def crash_at_third_reload() -> None:
     """The process ends at its third SIGHUP."""
-    reload = Reloading.reload
+    reload = Reloader.reload
     reloads = 0
 
     def end(self: Any) -> None:
@@ -94,12 +94,12 @@
             os._exit(1)
         reload(self)
 
-    patch(Reloading, "reload", end)
+    patch(Reloader, "reload", end)
 
 
 def leaked_descriptor() -> None:
     """A descriptor stays open after each refusal."""
-    refuse = PlatformAsk.refuse
+    refuse = PlatformRequest.refuse
 
     def leak(self: Any, *args: Any, **fields: Any) -> None:
         if not self.answered:
@@ -107,12 +107,12 @@
             os.dup(2)
         refuse(self, *args, **fields)
 
-    patch(PlatformAsk, "refuse", leak)
+    patch(PlatformRequest, "refuse", leak)
 
 
 def kept_memory() -> None:
     """Two megabytes stay with each answered request."""
-    finish = PlatformAsk.finish
+    finish = PlatformRequest.finish
     kept: list[bytes] = []
 
     def keep(self: Any) -> None:
@@ -120,12 +120,12 @@
         kept.append(os.urandom(1) * KEPT_BYTES)
         finish(self)
 
-    patch(PlatformAsk, "finish", keep)
+    patch(PlatformRequest, "finish", keep)
 
 
 def raised() -> None:
     """Each twentieth request meets an error that nobody thought of."""
-    answer = PlatformDoor._ask
+    answer = PlatformListener._ask
     asked = 0
 
     def fail(self: Any, *args: Any) -> Any:
@@ -136,7 +136,7 @@
             raise KeyError("unthought of")
         return answer(self, *args)
 
-    patch(PlatformDoor, "_ask", fail)
+    patch(PlatformListener, "_ask", fail)
 
 
 MUTANTS = {
--- a/soak/mutants/servers.py
+++ b/soak/mutants/servers.py
@@ -14,7 +14,7 @@
 from stackpitch.loop import MS, SECOND, Coro
 from stackpitch.platform import watching
 from stackpitch.platform.discovery import Discovery
-from stackpitch.platform.reloading import Reloading
+from stackpitch.platform.reloading import Reloader
 
 LATE_LIST = 1200 * MS
 NEVER = 600 * SECOND
@@ -26,7 +26,7 @@
     apply = Roster.apply
 
     def deaf(self: Any, version: int, entries: Any, current: bool = True) -> Any:
-        if not self.applied:
+        if not self.lists_applied:
             return apply(self, version, entries, current)
         acted()
         return []
@@ -39,7 +39,7 @@
     take = Host.take
 
     def later(self: Any, version: int, entries: Any, current: bool = True) -> None:
-        if not self.roster.applied:
+        if not self.roster.lists_applied:
             take(self, version, entries, current)
             return
         acted()
@@ -63,9 +63,9 @@
 
 def deaf_to_silence() -> None:
     """A watch that has fallen silent is never given up."""
-    times, call = watching.times, Discovery._call
+    times, call = watching.watch_times, Discovery._call
 
-    def endless(spread: float) -> watching.Times:
+    def endless(spread: float) -> watching.WatchTimes:
         return replace(times(spread), grace=NEVER)
 
     def note(self: Any, stream: Any, target: str) -> Any:
@@ -76,13 +76,13 @@
             if self.world.now() - begun > times(0).wait + times(0).grace:
                 acted()
 
-    patch(watching, "times", endless)
+    patch(watching, "watch_times", endless)
     patch(Discovery, "_call", note)
 
 
 def deaf_after_reload() -> None:
     """Lists are not taken any more once a configuration was read anew."""
-    reload, take = Reloading.reload, Host.take
+    reload, take = Reloader.reload, Host.take
     reloaded: set[Host] = set()
 
     def note(self: Any) -> None:
@@ -95,7 +95,7 @@
         else:
             take(self, *given, **named)
 
-    patch(Reloading, "reload", note)
+    patch(Reloader, "reload", note)
     patch(Host, "take", deaf)
 
 
@@ -106,7 +106,7 @@
         acted()
         yield from ()
 
-    patch(Reloading, "reload_patiently", nothing)
+    patch(Reloader, "reload_patiently", nothing)
 
 
 def overloaded_cold() -> None:
--- a/stackpitch/gateway/admin.py
+++ b/stackpitch/gateway/admin.py
@@ -8,9 +8,11 @@
 from stackpitch.loop import SECOND, Coro, Group, Listener, Lost, Stream, World
 from stackpitch.wire import http
 
-Route = Callable[[Mapping[str, str]], Coro[tuple[int, bytes]]]  # what stood after the ?, to status and body
-Taker = Callable[[bytes], Coro[tuple[int, bytes]]]  # the request's body, to status and body
-Streamer = Callable[
+RouteHandler = Callable[
+    [Mapping[str, str]], Coro[tuple[int, bytes]]
+]  # what stood after the ?, to status and body
+BodyHandler = Callable[[bytes], Coro[tuple[int, bytes]]]  # the request's body, to status and body
+StreamHandler = Callable[
     [http.RequestReader, Stream], Coro[bool]
 ]  # writes a long answer; whether the connection is kept
 
@@ -18,18 +20,23 @@
 class Admin:
     """A few small answers, one connection each; and long ones, whose `Streamer` bounds its own waits."""
 
-    LIMIT = 5 * SECOND
+    REQUEST_TIMEOUT = 5 * SECOND
 
     def __init__(
         self,
         world: World,
-        routes: dict[tuple[str, str], Route],
-        takers: dict[str, Taker] | None = None,
+        routes: dict[tuple[str, str], RouteHandler],
+        body_handlers: dict[str, BodyHandler] | None = None,
         max_body: int = 8192,
     ) -> None:
         """`takers`: by path, what is posted with a body. `streams`: by the beginning of the path."""
-        self.world, self.routes, self.takers, self.max_body = world, routes, takers or {}, max_body
-        self.streams: dict[str, Streamer] = {}
+        self.world, self.routes, self.body_handlers, self.max_body = (
+            world,
+            routes,
+            body_handlers or {},
+            max_body,
+        )
+        self.stream_handlers: dict[str, StreamHandler] = {}
 
     def serve(self, group: Group, listener: Listener) -> Coro[None]:
         while True:
@@ -58,14 +65,14 @@
     def _answered(self, stream: Stream) -> Coro[bool]:
         """One request; whether another may follow."""
         reader, streamer = http.RequestReader(8192, self.max_body), None
-        with self.world.limit(self.LIMIT) as scope:
+        with self.world.limit(self.REQUEST_TIMEOUT) as scope:
             while not reader.complete:
                 data = yield from stream.recv()
                 if not data:
                     return False
                 reader.feed(data)
             streamer = next(
-                (one for start, one in self.streams.items() if reader.path.startswith(start)), None
+                (one for start, one in self.stream_handlers.items() if reader.path.startswith(start)), None
             )
             if streamer is None:
                 yield from self._short(stream, reader)
@@ -75,7 +82,7 @@
 
     def _short(self, stream: Stream, reader: http.RequestReader) -> Coro[None]:
         route = self.routes.get((reader.method, reader.path))
-        taker = self.takers.get(reader.path) if reader.method == "POST" else None
+        taker = self.body_handlers.get(reader.path) if reader.method == "POST" else None
         if taker is not None:
             status, body = yield from taker(reader.body())
         elif route is None:
--- a/stackpitch/gateway/counters.py
+++ b/stackpitch/gateway/counters.py
@@ -9,7 +9,7 @@
 
 from stackpitch.interface import MS, Generation, Leg, Product, Time
 
-EDGES = [
+BUCKET_EDGES = [
     int(10 * MS * 2 ** (step / 2)) for step in range(23)
 ]  # 10 ms to 20 s; what is longer counts with the last
 QUANTILES = (0.5, 0.9, 0.99)
@@ -19,10 +19,10 @@
 
 class Histogram:
     def __init__(self) -> None:
-        self.counts = [0] * len(EDGES)
+        self.counts = [0] * len(BUCKET_EDGES)
 
     def add(self, wait: Time) -> None:
-        self.counts[min(bisect_left(EDGES, wait), len(EDGES) - 1)] += 1
+        self.counts[min(bisect_left(BUCKET_EDGES, wait), len(BUCKET_EDGES) - 1)] += 1
 
     def quantiles(self) -> list[int]:
         """In ms, the upper edge of the bucket in which each is; empty if nothing was met."""
@@ -32,11 +32,11 @@
             while rank > self.counts[place]:
                 rank -= self.counts[place]
                 place += 1
-            found.append(EDGES[place] // MS)
+            found.append(BUCKET_EDGES[place] // MS)
         return found
 
 
-class ClassCounters:
+class ProductCounters:
     """Of one product."""
 
     def __init__(self) -> None:
@@ -61,15 +61,15 @@
 
 class Counters:
     def __init__(self) -> None:
-        self.classes: dict[Product, ClassCounters] = {}  # as many as products; begun anew by `take`
+        self.by_product: dict[Product, ProductCounters] = {}  # as many as products; begun anew by `take`
 
-    def of(self, gen: Generation) -> ClassCounters:
-        found = self.classes.get(gen.product)
+    def of(self, gen: Generation) -> ProductCounters:
+        found = self.by_product.get(gen.product)
         if found is None:
-            found = self.classes[gen.product] = ClassCounters()
+            found = self.by_product[gen.product] = ProductCounters()
         return found
 
-    def started(self, now: Time, leg: Leg) -> None:
+    def first_token_received(self, now: Time, leg: Leg) -> None:
         """The first token is here."""
         waits = self.of(leg.gen).waits
         waits[leg.server.role].add(now - leg.sent)
@@ -85,7 +85,7 @@
         both[0] += kept_tok
         both[1] += gen.prompt_tok
 
-    def over(self, gen: Generation, end: str, first_token: Time | None) -> None:
+    def ended(self, gen: Generation, end: str, first_token: Time | None) -> None:
         found = self.of(gen)
         found.ended += 1
         if end == "streamed" and first_token is not None and first_token - gen.arrived <= gen.slo():
@@ -99,8 +99,8 @@
         }.get(end, "broken off")
         found.lost[cause] += 1
 
-    def take(self) -> list[dict[str, object]]:
+    def take_lines(self) -> list[dict[str, object]]:
         """A line for each product that anything was seen of since the last call."""
-        lines = [of.line(product.name) for product, of in self.classes.items()]
-        self.classes.clear()
+        lines = [of.line(product.name) for product, of in self.by_product.items()]
+        self.by_product.clear()
         return lines
--- a/stackpitch/gateway/door.py
+++ b/stackpitch/gateway/door.py
@@ -78,7 +78,7 @@
                 return  # the listener is closed: the gateway stops
             if self.connections - len(self.lingering) >= self.max_connections and not self._make_room():
                 self.metrics.refused.labels("connections").inc()
-                self.closings[Closing.OVERFULL] += 1
+                self.closings[Closing.OVER_LIMIT] += 1
                 if self.turned < self.told_why:
                     self.turned += 1
                     group.spawn(self._turn_away(stream), "turn away")
@@ -107,7 +107,7 @@
         except Lost:  # the client broke it; what it had asked for was told as departed
             self.closings[Closing.BROKEN] += 1
         except Exception as wrong:  # one connection's fault ends that connection alone
-            self.closings[Closing.RAISED] += 1
+            self.closings[Closing.INTERNAL_ERROR] += 1
             self.log.exception("door_raised", why=str(wrong))
         finally:
             stream.close()
@@ -138,7 +138,7 @@
                 return False
             if (yield from self._answer(stream, reader, began)):
                 return True
-            self.closings[self._why_after.pop(stream, Closing.LAST_ANSWER)] += 1
+            self.closings[self._why_after.pop(stream, Closing.LAST_RESPONSE)] += 1
             return False
         except http.BadMessage as wrong:
             self.closings[Closing.BAD_REQUEST] += 1
@@ -229,9 +229,9 @@
     def _note_untaken(self, stream: Stream, reader: http.RequestReader, reason: Reason) -> None:
         self.host.refusals.note(Act.TAKE, reason)
         self._why_after[stream] = Closing.STOPPING
-        if self.host.telling.tells(self.world.now(), reason):
+        if self.host.telling.allows(self.world.now(), reason):
             named = next((reader.headers[one] for one in REQUEST_ID_FIELDS if one in reader.headers), "")
-            self.log.info("untaken", id=named, why=reason, left_out=self.host.telling.take_left_out())
+            self.log.info("untaken", id=named, why=reason, left_out=self.host.telling.take_suppressed())
 
     def _ask(self, stream: Stream, reader: http.RequestReader, began: Time) -> Ask:
         """What a whole request asks for. Raises BadRequest, or BadMessage which ends the connection as well."""
@@ -284,7 +284,7 @@
             self._why_after[stream] = Closing.STREAM_CUT
             return False
         if not (yield from self._taken(stream, ask.patience)):
-            self._why_after[stream] = Closing.NOT_TAKEN
+            self._why_after[stream] = Closing.SLOW_CLIENT
             return False
         if ask.surplus or reader.extra:
             self._why_after[stream] = Closing.PIPELINED
--- a/stackpitch/gateway/duties.py
+++ b/stackpitch/gateway/duties.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from stackpitch.duties.carrier import Duties, Figures
-from stackpitch.gateway.admin import Admin, Streamer
+from stackpitch.gateway.admin import Admin, StreamHandler
 from stackpitch.gateway.door import Door
 from stackpitch.gateway.host import Host
 from stackpitch.gateway.logs import Log
@@ -38,12 +38,12 @@
 def duties(world: World, settings: Settings, log: Log, host: Host, door: Door, admin: Admin) -> Duties:
     """The duties, with what the door and the admin port give them and are given by them."""
     made = Duties(world, log, figures(settings))
-    admin.takers["/duty"], admin.max_body = made.take, made.LARGEST
+    admin.body_handlers["/duty"], admin.max_body = made.take, made.LARGEST
     admits: Callable[[str], bool] = _any
     if settings.duties.vocabulary is not None:
         admits = _vocabulary(world, settings, log, host, made, door, admin)
     if settings.duties.weights is not None:
-        _weights(world, settings, log, host, made, admin.streams, admits)
+        _weights(world, settings, log, host, made, admin.stream_handlers, admits)
     return made
 
 
@@ -58,7 +58,7 @@
     """Gives what tells a release whether servers may run on a vocabulary."""
     from stackpitch.duties.vocabulary.judging import Files, InChild, InSteps
     from stackpitch.duties.vocabulary.work import VocabularyWork
-    from stackpitch.gateway import speaking
+    from stackpitch.gateway import token_ids
     from stackpitch.gateway.tongues import Tongues
 
     one = settings.duties.vocabulary
@@ -70,14 +70,14 @@
         made,
         files,
         way,
-        lambda: speaking.counted(host.roster),
+        lambda: token_ids.count_vocabularies(host.roster),
         lambda text: log.info("vocabulary", text=text),
         one.most_share,
     )
     made.add(work)
-    door.speaking = speaking.Speaking(work, host.roster)
+    door.speaking = token_ids.TokenIdTranslator(work, host.roster)
     host.narrow(Tongues(host.roster, host.asks).may)
-    admin.routes |= speaking.routes(work, admin.routes["POST", "/fleet/confirm"])
+    admin.routes |= token_ids.routes(work, admin.routes["POST", "/fleet/confirm"])
     return work.admits
 
 
@@ -87,12 +87,12 @@
     log: Log,
     host: Host,
     made: Duties,
-    streams: dict[str, Streamer],
+    streams: dict[str, StreamHandler],
     admits: Callable[[str], bool],
 ) -> None:
     from stackpitch.duties.weights import serving
     from stackpitch.duties.weights.work import WeightsWork
-    from stackpitch.gateway.loading import SiteEngines
+    from stackpitch.gateway.engine_weights import SiteEngines
 
     def say(word: str, **fields: Any) -> None:
         if "remedy" in fields:
@@ -118,6 +118,6 @@
         revenue=revenue,
         log=say,
     )
-    failures = host.metrics.weights(work.receiver.states, lambda: work.receiver.trouble is not None)
+    failures = host.metrics.register_weights(work.receiver.states, lambda: work.receiver.trouble is not None)
     made.add(work)
     streams[serving.PREFIX] = given
--- a/stackpitch/gateway/host/asked.py
+++ b/stackpitch/gateway/host/asked.py
@@ -98,7 +98,7 @@
         ask = self.asks.get(gen)
         if ask is None:
             return
-        self.note(ask, Step.LET_GO, why)
+        self.note(ask, Step.RELEASING, why)
         self.metrics.releases_asked.labels(why).inc()
         if gen.out():
             self.front.release_unused(ask)
@@ -163,5 +163,5 @@
 
     def log(self, text: str) -> None:
         mode, _, rest = text.partition(" ")
-        self.metrics.modes.labels(mode).inc()
+        self.metrics.mode_changes.labels(mode).inc()
         self.logger.info("mode", mode=mode, text=rest)
--- a/stackpitch/gateway/host/told.py
+++ b/stackpitch/gateway/host/told.py
@@ -17,7 +17,7 @@
 from stackpitch.gateway.permission import Act, Now, Reason, Refusals, may_start
 from stackpitch.gateway.pool import Budget, Pool
 from stackpitch.gateway.roster import Roster
-from stackpitch.gateway.trace import Step, Telling, lines
+from stackpitch.gateway.trace import RequestLogLimiter, Step, format_steps
 from stackpitch.interface import Generation, Leg, Report, Server, Time
 from stackpitch.loop import Group, World
 from stackpitch.membership.entries import Entry
@@ -64,7 +64,7 @@
             Generation, ArrivalSettings
         ] = {}  # of those from before a reload; emptied as `asks`
         self.doubts, self.counters, self.refusals = Doubts(), Counters(), Refusals()
-        self.telling = Telling()
+        self.telling = RequestLogLimiter()
         self.relayed = 0
         self.emptied: Callable[[], None] | None = None
 
@@ -144,7 +144,7 @@
         gen = ask.gen
         self.asks[gen] = ask
         self.note(ask, Step.ARRIVED)
-        self.metrics.held.set(len(self.asks))
+        self.metrics.generations_held.set(len(self.asks))
         ask.watch = self.world.at(gen.gives_up + self.bounds.watch, lambda: self._watched(ask))
         brain = self.brain
         self._tell(ask, lambda now: brain.arrived(now, gen))
@@ -221,7 +221,7 @@
         self.note(ask, Step.STARTED, leg.server.name)
         ask.begin(self.world.now())
         self.front.started(ask, leg, fetched)
-        self.counters.started(self.world.now(), leg)
+        self.counters.first_token_received(self.world.now(), leg)
         brain = self.brain_of(leg.gen)
         self._tell(ask, lambda now: brain.started(now, leg))
         self.metrics.first_token.labels(ask.gen.product.name).observe(
@@ -265,7 +265,7 @@
 
     def _tell_steps(self, ask: Ask) -> None:
         now = self.world.now()
-        if not self.telling.tells(now, ask.end):
+        if not self.telling.allows(now, ask.end):
             return
         ask.steps.append((now, Step.ANSWERED, f"{ask.end} {ask.gen.given_up or ''}"))
         self.logger.info(
@@ -273,8 +273,8 @@
             id=ask.gen.name,
             product=ask.gen.product.name,
             session=ask.gen.session,
-            left_out=self.telling.take_left_out(),
-            steps=lines(ask.gen, ask.steps),
+            left_out=self.telling.take_suppressed(),
+            steps=format_steps(ask.gen, ask.steps),
         )
 
     def _report(self, end: End) -> Report | None:
@@ -303,8 +303,8 @@
             if ask.watch is not None:
                 ask.watch.cancel()
             self.metrics.generations.labels(ask.gen.product.name, ask.end).inc()
-            self.counters.over(ask.gen, ask.end, ask.first_token)
-            self.metrics.held.set(len(self.asks))
+            self.counters.ended(ask.gen, ask.end, ask.first_token)
+            self.metrics.generations_held.set(len(self.asks))
             gen = ask.gen
             self._tell_steps(ask)
             self.logger.log(
--- a/stackpitch/gateway/host/words.py
+++ b/stackpitch/gateway/host/words.py
@@ -48,7 +48,7 @@
         """One word to another gateway. None is repeated; one that can't leave now is dropped and counted."""
         peers = self.peers
         if len(octets) > PEER_WORD or not 0 <= peer < len(peers.admin) or self.under_way >= peers.max_words:
-            self.metrics.words.labels("not-sent").inc()
+            self.metrics.gossip_messages.labels("not-sent").inc()
             return
         from urllib.parse import urlencode  # not at the start: a gateway of the platform has no use for it
 
@@ -71,7 +71,7 @@
                 pass
             finally:
                 self.under_way -= 1
-                self.metrics.words.labels(end).inc()
+                self.metrics.gossip_messages.labels(end).inc()
 
         self.under_way += 1
         self.group.spawn(call(), f"word to {peer}")
@@ -84,8 +84,8 @@
             number, octets = -1, b""
         others = 0 <= number < len(self.peers.admin) and number != self.peers.number
         if not others or not octets or len(octets) > PEER_WORD:
-            self.metrics.words.labels("dropped").inc()
+            self.metrics.gossip_messages.labels("dropped").inc()
             return False
-        self.metrics.words.labels("heard").inc()
+        self.metrics.gossip_messages.labels("heard").inc()
         self.hears(number, octets)
         return True
--- a/stackpitch/gateway/intake.py
+++ b/stackpitch/gateway/intake.py
@@ -40,7 +40,7 @@
 
     def _why_without_request(self, stream: Stream) -> Closing:
         if stream in self.lingering:
-            return Closing.MADE_ROOM
+            return Closing.EVICTED
         return Closing.CLIENT_ENDED if stream.eof else Closing.IDLE
 
     def _first(self, stream: Stream, kept: bool) -> Coro[bytes]:
--- a/stackpitch/gateway/logs.py
+++ b/stackpitch/gateway/logs.py
@@ -9,7 +9,7 @@
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 
 
-def make(name: str, level: str, form: str) -> Log:
+def make_logger(name: str, level: str, form: str) -> Log:
     shown: structlog.typing.Processor = structlog.processors.JSONRenderer()
     if form == "console":
         shown = structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
--- a/stackpitch/gateway/metrics.py
+++ b/stackpitch/gateway/metrics.py
@@ -44,33 +44,37 @@
             buckets=STATE_HELD_S,
             registry=registry,
         )
-        self.modes = Counter(
+        self.mode_changes = Counter(
             "stackpitch_log_lines", "Mode changes that the module logged", ["mode"], registry=registry
         )
-        self.words = Counter(
+        self.gossip_messages = Counter(
             "stackpitch_peer_words",
             "Words between gateways by what became of them",
             ["end"],
             registry=registry,
         )
-        self.hogs = Counter("stackpitch_hogs", "Steps of one task over the limit", registry=registry)
-        self.relayed = Gauge("stackpitch_relayed_bytes", "Bytes of streams passed on", registry=registry)
-        self.held = Gauge(
+        self.long_steps = Counter("stackpitch_hogs", "Steps of one task over the limit", registry=registry)
+        self.relayed_bytes = Gauge(
+            "stackpitch_relayed_bytes", "Bytes of streams passed on", registry=registry
+        )
+        self.generations_held = Gauge(
             "stackpitch_generations_held", "Taken and not over, or with a leg out", registry=registry
         )
         self.connections = Gauge("stackpitch_connections", "Open connections", ["side"], registry=registry)
         self.roster_version = Gauge(
             "stackpitch_roster_version", "Version of the list in force", registry=registry
         )
-        self.lists = Counter("stackpitch_lists", "Lists by what became of them", ["word"], registry=registry)
-        self.store_trouble = Gauge(
+        self.rosters = Counter(
+            "stackpitch_lists", "Lists by what became of them", ["word"], registry=registry
+        )
+        self.store_failing = Gauge(
             "stackpitch_store_trouble", "1 while lists can't be kept", registry=registry
         )
-        self.rejected = Counter(
+        self.rosters_rejected = Counter(
             "stackpitch_rosters_rejected", "Lists that were not applied", registry=registry
         )
 
-    def weights(self, states: Callable[[], dict[str, int]], trouble: Callable[[], bool]) -> Counter:
+    def register_weights(self, states: Callable[[], dict[str, int]], trouble: Callable[[], bool]) -> Counter:
         """Figures of the weights at this gateway's site, where settings name them; gives the counter of errors by word."""
         registry = self.registry
         versions = Gauge(
@@ -88,5 +92,5 @@
             registry=registry,
         )
 
-    def text(self) -> bytes:
+    def render(self) -> bytes:
         return generate_latest(self.registry)
--- a/stackpitch/gateway/roster.py
+++ b/stackpitch/gateway/roster.py
@@ -17,10 +17,10 @@
 
     def __init__(self, world: World, kinds: Mapping[str, tuple[Role, int]]) -> None:
         self.kinds, self.version = kinds, -1
-        self.applied = 0  # lists so far
+        self.lists_applied = 0  # lists so far
         self.servers: dict[str, Server] = {}
         self.addresses: dict[Server, Address] = {}
-        self.told: dict[str, Entry] = {}  # the list in force
+        self.entries: dict[str, Entry] = {}  # the list in force
         self.vocabularies: dict[Server, str] = {}  # of those whose entry names one
         self.starts = Starts(world)
 
@@ -31,18 +31,18 @@
         for name in self.servers.keys() - told.keys():
             self.servers[name].state = "gone"
         found = [
-            self._server(one)
+            self._update_server(one)
             for name, one in told.items()
-            if self.told.get(name) != one or name not in self.servers
+            if self.entries.get(name) != one or name not in self.servers
         ]
         self.starts.keep(told)
         if current:
             self.starts.confirm()
-        self.told, self.version = told, version
-        self.applied += 1
+        self.entries, self.version = told, version
+        self.lists_applied += 1
         return found
 
-    def _server(self, one: Entry) -> Server:
+    def _update_server(self, one: Entry) -> Server:
         role, memory = self.kinds[one.kind]
         server = self.servers.get(one.name)
         if server is not None and (
@@ -65,9 +65,9 @@
         self.addresses[server] = one.address
         return server
 
-    def take_kinds(self, kinds: Mapping[str, tuple[Role, int]]) -> None:
+    def set_kinds(self, kinds: Mapping[str, tuple[Role, int]]) -> None:
         """Other roles and memories of kinds. The next list is looked at whole, as for a module that knows no server yet."""
-        self.kinds, self.told = kinds, {}
+        self.kinds, self.entries = kinds, {}
 
     def forget(self, server: Server) -> None:
         if server.state == "gone":
--- a/stackpitch/gateway/keeper/__init__.py
+++ b/stackpitch/gateway/roster_manager/__init__.py
@@ -4,6 +4,6 @@
 is the checker's (`membership.bundle`).
 """
 
-from stackpitch.gateway.keeper.keeper import Keeper
+from stackpitch.gateway.roster_manager.manager import RosterManager
 
-__all__ = ["Keeper"]
+__all__ = ["RosterManager"]
--- a/stackpitch/gateway/keeper/history.py
+++ b/stackpitch/gateway/roster_manager/history.py
@@ -89,7 +89,7 @@
         if store.found:
             self.log.warning("store_found", what=store.found)
             store.found = ""
-        self.metrics.store_trouble.set(bool(store.trouble))
+        self.metrics.store_failing.set(bool(store.trouble))
         if store.trouble:
             self.log.error("store_trouble", why=store.trouble, meaning="lists are not kept; serving goes on")
         else:
--- a/stackpitch/gateway/keeper/inforce.py
+++ b/stackpitch/gateway/roster_manager/inforce.py
@@ -3,9 +3,9 @@
 from typing import Any
 
 from stackpitch.gateway.host import Host
-from stackpitch.gateway.keeper.history import History
 from stackpitch.gateway.logs import Log
 from stackpitch.gateway.metrics import Metrics
+from stackpitch.gateway.roster_manager.history import History
 from stackpitch.loop import World
 from stackpitch.membership.bundle import Bundle
 from stackpitch.membership.entries import Change, Entry, Proposal, change
@@ -81,7 +81,7 @@
         changed = changed if changed is not None else self.changed(verdict)
         self.applied, self.version = {one.name: one for one in verdict.entries}, version
         self.last = verdict.word, verdict.reasons
-        self.metrics.lists.labels(verdict.word).inc()
+        self.metrics.rosters.labels(verdict.word).inc()
         self.log.info(
             "list",
             word=verdict.word,
@@ -97,7 +97,7 @@
 
     def held_back(self, verdict: Verdict, bundle: Bundle) -> None:
         self.last = verdict.word, verdict.reasons
-        self.metrics.lists.labels(verdict.word).inc()
+        self.metrics.rosters.labels(verdict.word).inc()
         self.log.warning(
             "list_held_back", version=bundle.version, digest=bundle.digest, why="; ".join(verdict.reasons)
         )
@@ -113,7 +113,7 @@
         """Once for each content."""
         self.bad = problems
         self.last = "rejected", self.bad
-        self.metrics.rejected.inc()
+        self.metrics.rosters_rejected.inc()
         self.log.error("roster_rejected", why="\n".join(problems), in_force=self.version)
         self.history.note("rejected", version, told, problems)
 
--- a/stackpitch/gateway/keeper/keeper.py
+++ b/stackpitch/gateway/roster_manager/manager.py
@@ -7,12 +7,12 @@
 import msgspec
 
 from stackpitch.gateway.host import Host
-from stackpitch.gateway.keeper import files
-from stackpitch.gateway.keeper.checker import Checker
-from stackpitch.gateway.keeper.history import History
-from stackpitch.gateway.keeper.inforce import InForce, figures
 from stackpitch.gateway.logs import Log
 from stackpitch.gateway.metrics import Metrics
+from stackpitch.gateway.roster_manager import files
+from stackpitch.gateway.roster_manager.checker import Checker
+from stackpitch.gateway.roster_manager.history import History
+from stackpitch.gateway.roster_manager.inforce import InForce, figures
 from stackpitch.loop import Coro, Group, Watch, World
 from stackpitch.membership.bundle import Bundle, read_set
 from stackpitch.membership.registrar import Verdict
@@ -35,7 +35,7 @@
     raise AssertionError("it waits")
 
 
-class Keeper:
+class RosterManager:
     """One gateway's lists. `config` None: settings that stand in no file; lists are then read in this process."""
 
     def __init__(
@@ -88,7 +88,7 @@
         if wrong is not None:
             self.log.warning("roster_kept", file=self.settings.kept, version=self.in_force.version)
 
-    def reload_here(self, force: bool = False) -> str | None:
+    def reload_blocking(self, force: bool = False) -> str | None:
         """Reads and applies in this process; gives what is wrong. For callers that run no watch."""
         bundle = read_set(self.config, self.given, self.settings)
         return at_once(self._settle(bundle, force, slices=False))
--- a/stackpitch/gateway/serve.py
+++ b/stackpitch/gateway/serve.py
@@ -8,15 +8,15 @@
 import msgspec
 
 from stackpitch.gateway import logs
-from stackpitch.gateway.admin import Admin, Route
+from stackpitch.gateway.admin import Admin, RouteHandler
 from stackpitch.gateway.bounds import Bounds
 from stackpitch.gateway.door import Door
 from stackpitch.gateway.engines import Engines
 from stackpitch.gateway.facts import Reading
 from stackpitch.gateway.host import Host, Peers
-from stackpitch.gateway.keeper import Keeper
 from stackpitch.gateway.metrics import Metrics
 from stackpitch.gateway.roster import Roster
+from stackpitch.gateway.roster_manager import RosterManager
 from stackpitch.interface import Time
 from stackpitch.loop import SECOND, Coro, Group, World
 from stackpitch.settings import Settings
@@ -26,7 +26,7 @@
     from stackpitch.duties.carrier import Duties
 
 
-def reading(settings: Settings) -> Reading:
+def build_reading(settings: Settings) -> Reading:
     made = products(settings)
     models = {model: made[name] for name, one in settings.products.items() for model in one.models}
     known = customers(settings)
@@ -34,7 +34,7 @@
     return Reading(made, models, keys, settings.door.bytes_per_tok, settings.door.default_limit_tok)
 
 
-def bounds(settings: Settings) -> Bounds:
+def build_bounds(settings: Settings) -> Bounds:
     engines, door = settings.engines, settings.door
     return Bounds(
         pool=engines.pool,
@@ -52,7 +52,7 @@
     )
 
 
-def host(world: World, group: Group, settings: Settings, log: logs.Log, metrics: Metrics) -> Host:
+def build_host(world: World, group: Group, settings: Settings, log: logs.Log, metrics: Metrics) -> Host:
     load = settings.load
     return Host(
         world,
@@ -61,7 +61,7 @@
         metrics,
         settings.name,
         Roster(world, kinds(settings)),
-        bounds(settings),
+        build_bounds(settings),
         Engines((load.held_share, load.slots_share, load.queued)),
         settings.seed,
         preferences(settings, world.wall_ms() * 10 - world.now()),
@@ -87,11 +87,11 @@
     SIGTERM and SIGINT: no new work; what is held is finished, and answered after `stop.finish_ms`. SIGHUP: the files
     are read anew. `ready` is told the ports of door and admin. `config` and `given`: where the settings come from.
     """
-    log = logs.make(settings.name, settings.logs.level, settings.logs.form)
+    log = logs.make_logger(settings.name, settings.logs.level, settings.logs.form)
     metrics = Metrics()
 
     def on_hog(name: str, spent: Time) -> None:
-        metrics.hogs.inc()
+        metrics.long_steps.inc()
         log.warning("hog", task=name, ms=spent / 10)
 
     world.on_hog, world.hog_limit = on_hog, ticks(settings.logs.hog_ms)
@@ -99,13 +99,13 @@
     door_settings = settings.door
 
     def body(group: Group) -> Coro[None]:
-        carrier = host(world, group, settings, log, metrics)
+        carrier = build_host(world, group, settings, log, metrics)
         door = Door(
             world,
             carrier,
             log,
             metrics,
-            reading(settings),
+            build_reading(settings),
             max_connections=door_settings.max_connections,
             max_bodies=door_settings.max_bodies,
             max_body=door_settings.max_body,
@@ -116,24 +116,24 @@
             stall=ticks(door_settings.stall_ms),
             margin=ticks(door_settings.answer_margin_ms),
         )
-        keeper = Keeper(world, group, log, metrics, carrier, settings, config, given)
+        manager = RosterManager(world, group, log, metrics, carrier, settings, config, given)
 
         def take(new: Settings) -> None:
-            door.reading = reading(new)
+            door.reading = build_reading(new)
             carrier.prefer(preferences(new, carrier.brain.preferences.epoch))
 
-        keeper.new_settings = take
-        keeper.begin()
+        manager.new_settings = take
+        manager.begin()
         listener = world.listen((door_settings.host, door_settings.port))
         admin_listener = world.listen((settings.admin.host, settings.admin.port))
         group.spawn(door.serve(group, listener), "door")
-        admin = Admin(world, _routes(carrier, keeper, metrics))
+        admin = Admin(world, _admin_routes(carrier, manager, metrics))
         duties = _duties(world, settings, log, carrier, door, admin)
         if duties is not None:
             group.spawn(duties.run(), "duties")
         group.spawn(admin.serve(group, admin_listener), "admin")
         group.spawn(_sweep(world, carrier), "sweep")
-        group.spawn(keeper.run(), "keeper")
+        group.spawn(manager.run(), "keeper")
         log.info(
             "serving",
             door=listener.address[1],
@@ -143,7 +143,7 @@
         if ready is not None:
             ready(listener.address[1], admin_listener.address[1])
         while (number := (yield from caught())) == signal.SIGHUP:
-            group.spawn(_told(keeper), "reload")
+            group.spawn(_told(manager), "reload")
         log.info("stopping", signal=number, held=len(carrier.asks))
         listener.finish()
         door.close_idle()
@@ -177,20 +177,22 @@
     return duties(world, settings, log, carrier, door, admin)
 
 
-def _told(keeper: Keeper) -> Coro[None]:
-    yield from keeper.reload()
+def _told(manager: RosterManager) -> Coro[None]:
+    yield from manager.reload()
 
 
-def _routes(carrier: Host, keeper: Keeper, metrics: Metrics) -> dict[tuple[str, str], Route]:
+def _admin_routes(
+    carrier: Host, manager: RosterManager, metrics: Metrics
+) -> dict[tuple[str, str], RouteHandler]:
     def answered(wrong: str | None) -> tuple[int, bytes]:
-        body = {"version": carrier.roster.version, "rejected": wrong} | keeper.status()
+        body = {"version": carrier.roster.version, "rejected": wrong} | manager.status()
         return (200 if wrong is None else 422), msgspec.json.encode(body)
 
     def text(asked: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
         yield from ()
-        metrics.relayed.set(carrier.relayed)
+        metrics.relayed_bytes.set(carrier.relayed)
         metrics.connections.labels("engines").set(sum(one.open for one in carrier.pools.values()))
-        return 200, metrics.text()
+        return 200, metrics.render()
 
     def roster(asked: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
         yield from ()
@@ -209,14 +211,14 @@
 
     def status(asked: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
         yield from ()
-        return 200, msgspec.json.encode(keeper.status())
+        return 200, msgspec.json.encode(manager.status())
 
     def history(asked: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
         yield from ()
-        return 200, msgspec.json.encode(keeper.history())
+        return 200, msgspec.json.encode(manager.history())
 
     def reload(asked: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
-        return answered((yield from keeper.reload(force=asked.get("force") == "1")))
+        return answered((yield from manager.reload(force=asked.get("force") == "1")))
 
     def peer(asked: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
         yield from ()
@@ -224,11 +226,11 @@
 
     def confirm(asked: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
         yield from ()
-        return answered(keeper.confirm(asked.get("digest", "")))
+        return answered(manager.confirm(asked.get("digest", "")))
 
     def rollback(asked: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
         yield from ()
-        return answered(keeper.rollback(asked.get("digest", "")))
+        return answered(manager.rollback(asked.get("digest", "")))
 
     return {
         ("GET", "/metrics"): text,
--- a/stackpitch/gateway/speaking.py
+++ b/stackpitch/gateway/token_ids.py
@@ -9,7 +9,7 @@
 from stackpitch.duties.vocabulary.errors import FilesUnread, VocabularyError
 from stackpitch.duties.vocabulary.owning import Asking
 from stackpitch.duties.vocabulary.work import VocabularyWork
-from stackpitch.gateway.admin import Route
+from stackpitch.gateway.admin import RouteHandler
 from stackpitch.gateway.facts import BadRequest, Facts
 from stackpitch.gateway.roster import Roster
 from stackpitch.loop import Coro
@@ -18,16 +18,18 @@
 Spoken = dict[str, dict[str, msgspec.Raw]]
 
 
-class Speaking:
+class TokenIdTranslator:
     """`told`: of which list the work was told last."""
 
     def __init__(self, work: VocabularyWork, roster: Roster) -> None:
         self.work, self.roster, self.told = work, roster, -1
 
     def _listed(self) -> None:
-        if self.told != self.roster.applied:
-            self.told = self.roster.applied
-            self.work.acting.listed({name: one.vocabulary or None for name, one in self.roster.told.items()})
+        if self.told != self.roster.lists_applied:
+            self.told = self.roster.lists_applied
+            self.work.acting.listed(
+                {name: one.vocabulary or None for name, one in self.roster.entries.items()}
+            )
 
     def spoken(self, facts: Facts) -> Spoken | None:
         """By vocabulary that it may go to, the fields that replace those of the body; None: it says no token ids. Takes the
@@ -50,16 +52,16 @@
         }
 
 
-def counted(roster: Roster) -> dict[str, int]:
+def count_vocabularies(roster: Roster) -> dict[str, int]:
     """How many listed servers have which vocabulary."""
     found: dict[str, int] = {}
-    for one in roster.told.values():
+    for one in roster.entries.values():
         if one.vocabulary:
             found[one.vocabulary] = found.get(one.vocabulary, 0) + 1
     return found
 
 
-def routes(work: VocabularyWork, confirm: Route) -> dict[tuple[str, str], Route]:
+def routes(work: VocabularyWork, confirm: RouteHandler) -> dict[tuple[str, str], RouteHandler]:
     """Operators' words on a change; a confirmation comes by the route that confirms lists, told apart by its digest."""
 
     def answered(asking: Asking) -> Coro[tuple[int, bytes]]:
--- a/stackpitch/gateway/tongues.py
+++ b/stackpitch/gateway/tongues.py
@@ -19,10 +19,10 @@
         self.written: tuple[int, frozenset[str]] = (-1, frozenset())
 
     def _written(self) -> frozenset[str]:
-        if self.written[0] != self.roster.applied:
+        if self.written[0] != self.roster.lists_applied:
             known = self.roster.vocabularies
             self.written = (
-                self.roster.applied,
+                self.roster.lists_applied,
                 frozenset(
                     known.get(one, "")
                     for one in self.roster.servers.values()
--- a/stackpitch/platform/__main__.py
+++ b/stackpitch/platform/__main__.py
@@ -4,14 +4,14 @@
 import sys
 
 from stackpitch.loop import RealWorld
-from stackpitch.platform.config import BadConfig
+from stackpitch.platform.config import ConfigError
 from stackpitch.platform.serve import serve
 
 if __name__ == "__main__":
     world = RealWorld()
     try:
         world.run(serve(world, os.environ))
-    except BadConfig as wrong:
+    except ConfigError as wrong:
         sys.stderr.write(f"stackpitch: {wrong}\n")
         sys.exit(2)
     except OSError as wrong:
--- a/stackpitch/platform/config.py
+++ b/stackpitch/platform/config.py
@@ -9,18 +9,18 @@
 from stackpitch.loop.world import Address
 from stackpitch.wire.platform import Listed, listed
 
-LEAST = {"sockets": 32, "memory_mb": 24}  # under these there is no room to work
+MINIMUMS = {"sockets": 32, "memory_mb": 24}  # under these there is no room to work
 LACKS = "missing, of the wrong kind or out of range"
 BYTES = frozenset(
     map(str, range(256))
 )  # as addresses are commonly written; a long list is read several times quicker
 
 
-class BadConfig(Exception):
+class ConfigError(Exception):
     """A configuration that can't be used; its text names the field."""
 
 
-class Unreadable(BadConfig):
+class UnreadableConfig(ConfigError):
     """The file can't be read now, or is no whole JSON: it may be in a moment."""
 
     remedy = "look at the file's rights, the disk and the limit of descriptors; write it beside and rename it into place"
@@ -39,14 +39,14 @@
     settings: Tree
 
 
-def address(text: str, field: str) -> Address:
+def parse_address(text: str, field: str) -> Address:
     host, _, port = text.rpartition(":")
     parts = host.split(".")
     numeric = len(parts) == 4 and (
         BYTES.issuperset(parts) or all(one.isascii() and one.isdigit() and int(one) < 256 for one in parts)
     )
     if not numeric or not (port.isascii() and port.isdigit()) or not 0 < int(port) < 65_536:
-        raise BadConfig(f"{field}: found {text[:60]!r}; an IPv4 address with a port is wanted")
+        raise ConfigError(f"{field}: found {text[:60]!r}; an IPv4 address with a port is wanted")
     return host, int(port)
 
 
@@ -54,38 +54,38 @@
     try:
         return int(text, 16)
     except ValueError:
-        raise BadConfig(f"seed: found {text[:60]!r}; hex digits are wanted") from None
+        raise ConfigError(f"seed: found {text[:60]!r}; hex digits are wanted") from None
 
 
 def known(values: Any) -> Listed:
     try:
         return listed(msgspec.json.encode(values))
     except ValueError as wrong:
-        raise BadConfig(f"known: {wrong}") from None
+        raise ConfigError(f"known: {wrong}") from None
 
 
 def read(given: Mapping[str, str]) -> Config:
     """`given`: the process's environment. Raises BadConfig, of which Unreadable where another try may help."""
     path = given.get("RELAY_CONFIG")
     if not path:
-        raise BadConfig("RELAY_CONFIG: missing")
+        raise ConfigError("RELAY_CONFIG: missing")
     try:
         with open(path, "rb") as file:  # pathlib would bring in urllib
             tree = msgspec.json.decode(file.read())
     except (OSError, msgspec.DecodeError, ValueError, RecursionError) as wrong:
-        raise Unreadable(f"RELAY_CONFIG: {wrong}") from None
+        raise UnreadableConfig(f"RELAY_CONFIG: {wrong}") from None
     try:
         top = Tree(tree)
         limits = top.tree("limits")
         name = top.get("name", str, given.get("RELAY_NAME", "gateway"))
         seed = top.get("seed", (str, int), "0")
-        for field, least in LEAST.items():
+        for field, least in MINIMUMS.items():
             if (found := limits.number(field, least)) < least:
-                raise BadConfig(f"limits.{field}: found {found}; {least} at least are wanted")
+                raise ConfigError(f"limits.{field}: found {found}; {least} at least are wanted")
         return Config(
             name,
-            address(top.get("listen", str, given.get("RELAY_LISTEN")), "listen"),
-            address(top.get("discovery", str, given.get("RELAY_DISCOVERY")), "discovery"),
+            parse_address(top.get("listen", str, given.get("RELAY_LISTEN")), "listen"),
+            parse_address(top.get("discovery", str, given.get("RELAY_DISCOVERY")), "discovery"),
             seeded(seed) if isinstance(seed, str) else seed,
             int(limits.number("sockets", 1024)),
             int(limits.number("memory_mb", 128)),
@@ -93,9 +93,9 @@
             top.tree("settings"),
         )
     except Missing as lack:
-        raise BadConfig(f"{lack}: {LACKS}") from None
+        raise ConfigError(f"{lack}: {LACKS}") from None
     except ValueError as wrong:  # a number of thousands of digits
-        raise BadConfig(f"RELAY_CONFIG: {wrong}") from None
+        raise ConfigError(f"RELAY_CONFIG: {wrong}") from None
 
 
 def parts(settings: Tree, take: Any) -> Any:
@@ -103,4 +103,4 @@
     try:
         return take(settings)
     except Missing as lack:
-        raise BadConfig(f"{lack}: {LACKS}") from None
+        raise ConfigError(f"{lack}: {LACKS}") from None
--- a/stackpitch/platform/discovery.py
+++ b/stackpitch/platform/discovery.py
@@ -13,8 +13,8 @@
 from stackpitch.loop import MS, ConnectFailed, Coro, Group, Lost, Scope, Stream, Task, Time, World
 from stackpitch.loop.world import Address
 from stackpitch.membership.entries import Entry
-from stackpitch.platform.config import BadConfig, address
-from stackpitch.platform.watching import BOUND, TRIES, Times
+from stackpitch.platform.config import ConfigError, parse_address
+from stackpitch.platform.watching import BOUND, TRIES, WatchTimes
 from stackpitch.wire import http, platform
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
     """
 
     def __init__(
-        self, world: World, host: Host, log: "Log", target: Address, known: platform.Listed, times: Times
+        self, world: World, host: Host, log: "Log", target: Address, known: platform.Listed, times: WatchTimes
     ) -> None:
         self.world, self.host, self.log, self.target, self.times = world, host, log, target, times
         self.entries: dict[str, Entry] = {}
@@ -85,8 +85,8 @@
 
     def _entry(self, one: platform.Member, before: dict[str, Entry]) -> Entry | None:
         try:
-            host, port = address(one.host_port, one.id)
-        except BadConfig as wrong:
+            host, port = parse_address(one.host_port, one.id)
+        except ConfigError as wrong:
             self.log.warning("bad_member", why=str(wrong))
             return before.get(one.id) if one.phase == "up" else None
         entry = Entry(
@@ -113,7 +113,7 @@
 
     def take_kinds(self, kinds: Mapping[str, tuple[Role, int]]) -> None:
         """Other kinds of servers: the whole list is told anew, with the members that these kinds make known."""
-        self.host.roster.take_kinds(kinds)
+        self.host.roster.set_kinds(kinds)
         listed = [*self.entries.values(), *self.unknown.values()]
         self.entries = {one.name: one for one in listed if self._known(one)}
         self.unknown = {one.name: one for one in listed if one.kind not in kinds}
--- a/stackpitch/platform/leg.py
+++ b/stackpitch/platform/leg.py
@@ -8,7 +8,7 @@
 from stackpitch.gateway.pool import Pool
 from stackpitch.interface import ANSWERED, Leg, Time
 from stackpitch.loop import MS, Coro, Scope, Stream
-from stackpitch.platform.ask import PlatformAsk
+from stackpitch.platform.request import PlatformRequest
 from stackpitch.wire import engine, http, platform
 
 if TYPE_CHECKING:
@@ -20,7 +20,7 @@
 class PlatformLeg(LegRun):
     """A stream begins for the client with its first whole event; until then a spoilt answer is a failed leg."""
 
-    def __init__(self, host: "Host", ask: PlatformAsk, leg: Leg, limit: Time) -> None:
+    def __init__(self, host: "Host", ask: PlatformRequest, leg: Leg, limit: Time) -> None:
         super().__init__(host, ask, leg, limit)
         self.ask, self.events = ask, platform.Events(parts=pacing.most_events(leg.gen.limit_tok))
 
@@ -31,9 +31,9 @@
         """Notes what the leg may have left behind: a read that was seen to end, or may have ended unseen."""
         if self.leg.server.role != "writer" and self.phase[0] >= Phase.SENT:
             if end is not None and end.outcome == "read":
-                self.ask.held, self.ask.held_since = True, self.host.world.now()
+                self.ask.may_hold_state, self.ask.held_since = True, self.host.world.now()
             elif end is None or end.outcome not in ("streamed", "full"):
-                self.ask.doubt = True
+                self.ask.read_outcome_unknown = True
         elif end is not None and end.outcome in ANSWERED and self.ask.held_since is not None:
             self.ask.held_since = self.host.world.now()
         super()._leave(pool, stream, end)
@@ -47,7 +47,7 @@
 
     def _exchange(self, stream: Stream, scope: Scope) -> Coro[End]:
         yield from self._write(stream, self._request())
-        self.ask.written = self.leg
+        self.ask.sent_leg = self.leg
         reader = self.reader
         while not reader.head_done:
             yield from self._more(stream)
--- a/stackpitch/platform/lines.py
+++ b/stackpitch/platform/lines.py
@@ -11,7 +11,7 @@
 OWN = ("level", "gateway", "event")  # fields of each line
 
 
-class Lines:
+class JsonLog:
     """JSON lines on standard error, with the methods of the gateway's log. `debug` is off. Of `log`, generations are
     counted by product and by how they ended, with the outcome of the last leg where that is the reason."""
 
@@ -40,7 +40,7 @@
             of = self.ends.setdefault(fields["product"], {})
             of[end] = of.get(end, 0) + 1
 
-    def classes(self) -> None:
+    def log_outcomes(self) -> None:
         """One line on what came of each product, if anything came since the last."""
         came = {product: sum(of.values()) for product, of in self.ends.items()}
         if sum(came.values()) != self.said:
@@ -56,11 +56,11 @@
 
     def begin_anew(self) -> None:
         """Tells what came of each product so far; the products of the next settings are others, also by the same name."""
-        self.classes()
+        self.log_outcomes()
         self.ends, self.said = {}, 0
 
     def counters(self, counters: Counters) -> None:
-        for line in counters.take():
+        for line in counters.take_lines():
             self.info("counters", **line)
 
     def info(self, event: str, **fields: Any) -> None:
@@ -76,13 +76,13 @@
         self._write("error", event, {**fields, "trace": traceback.format_exc()[-2000:]})
 
 
-class NoCounts:
+class NullMetrics:
     """Stands where counts would be kept."""
 
-    def __getattr__(self, name: str) -> "NoCounts":
+    def __getattr__(self, name: str) -> "NullMetrics":
         return self
 
-    def labels(self, *values: str) -> "NoCounts":
+    def labels(self, *values: str) -> "NullMetrics":
         return self
 
     def inc(self) -> None: ...
--- a/stackpitch/platform/door.py
+++ b/stackpitch/platform/listener.py
@@ -8,12 +8,12 @@
 from stackpitch.gateway.permission import takes_until
 from stackpitch.interface import Customer, Generation, Product, Time
 from stackpitch.loop import Coro, Stream
-from stackpitch.platform.ask import PlatformAsk
+from stackpitch.platform.request import PlatformRequest
 from stackpitch.wire import http, platform
 from stackpitch.wire.engine import GENERATE
 
 
-class PlatformDoor(Door):
+class PlatformListener(Door):
     """`products` and `customers` by name. `ready` tells the front that clients may come."""
 
     told_why = 8  # each holds a descriptor of the reserve
@@ -97,4 +97,6 @@
         headers = [
             (name, value) for name, value in http.end_to_end(reader.headers) if name != platform.DEADLINE
         ]
-        return PlatformAsk(gen, stream, reader.method, reader.url.decode("latin-1"), headers, reader.body())
+        return PlatformRequest(
+            gen, stream, reader.method, reader.url.decode("latin-1"), headers, reader.body()
+        )
--- a/stackpitch/platform/plan.py
+++ b/stackpitch/platform/plan.py
@@ -13,14 +13,14 @@
 from stackpitch.interface import Customer, Product, Role
 from stackpitch.loop import MS, SECOND
 from stackpitch.platform import config
-from stackpitch.platform.door import PlatformDoor
+from stackpitch.platform.listener import PlatformListener
 from stackpitch.platform.watching import TRIES
 
 OWN = 7  # descriptors: three standard streams, epoll, two for signals, the listener
 PASSING = 2  # a client's connection that was just accepted, and the configuration while it is read anew
 UNSEEN = 3  # of libraries that whoever starts the program loads into it
-RESERVE = OWN + PASSING + UNSEEN + TRIES + PlatformDoor.told_why
-CLIENTS = 0.42  # of the rest: the platform's clients hold a third at most for requests
+RESERVED_DESCRIPTORS = OWN + PASSING + UNSEEN + TRIES + PlatformListener.told_why
+CLIENT_SHARE = 0.42  # of the rest: the platform's clients hold a third at most for requests
 MAX_BODY, MAX_HEAD = 256 << 10, 16 << 10  # bytes; the protocol's bound, and what no head of it reaches
 CALLS_PART = 16  # one connection to servers in so many, and one at least, is for small calls alone
 RELEASE_TRIES = (
@@ -80,15 +80,15 @@
     )
 
 
-def planned(conf: config.Config, descriptors: int) -> Plan:
+def make_plan(conf: config.Config, descriptors: int) -> Plan:
     """`descriptors`: that the system lets the process hold. Raises BadConfig."""
     sockets = min(conf.sockets, descriptors)  # shares of more than there are would let idle clients take all
-    if sockets < config.LEAST["sockets"]:
-        raise config.BadConfig(
-            f"the process may hold {sockets} descriptors; {config.LEAST['sockets']} at least are wanted"
+    if sockets < config.MINIMUMS["sockets"]:
+        raise config.ConfigError(
+            f"the process may hold {sockets} descriptors; {config.MINIMUMS['sockets']} at least are wanted"
         )
-    clients = int((sockets - RESERVE) * CLIENTS)
-    engines = sockets - RESERVE - clients
+    clients = int((sockets - RESERVED_DESCRIPTORS) * CLIENT_SHARE)
+    engines = sockets - RESERVED_DESCRIPTORS - clients
     part = conf.memory_mb << 17  # bytes, an eighth
     buffer = pacing.buffer(part, clients, MAX_BODY)
     return Plan(
--- a/stackpitch/platform/releasing.py
+++ b/stackpitch/platform/releasing.py
@@ -14,7 +14,7 @@
 from stackpitch.gateway.trace import Step
 from stackpitch.interface import MS, SECOND, Generation, Server, Time
 from stackpitch.loop import Coro, Group
-from stackpitch.platform.ask import PlatformAsk
+from stackpitch.platform.request import PlatformRequest
 from stackpitch.wire import platform
 
 RELEASED = 204
@@ -93,16 +93,16 @@
         held = self._note_held(worker)
         if (ask := host.asks.get(self.request)) is not None:
             host.note(ask, Step.RELEASED, f"{worker.name}{held}")
-            if isinstance(ask, PlatformAsk) and ask.held_since == self.since:
+            if isinstance(ask, PlatformRequest) and ask.held_since == self.since:
                 ask.held_since = None
-        if self.tries > 1 and host.telling.tells(now, Step.RELEASED):
+        if self.tries > 1 and host.telling.allows(now, Step.RELEASED):
             host.logger.info(
                 "release_repeated",
                 id=self.request.name,
                 tries=self.tries,
                 ms=(now - self.began) / MS,
                 server=worker.name,
-                left_out=host.telling.take_left_out(),
+                left_out=host.telling.take_suppressed(),
             )
 
     def _note_held(self, worker: Server) -> str:
--- a/stackpitch/platform/reloading.py
+++ b/stackpitch/platform/reloading.py
@@ -17,30 +17,30 @@
 from stackpitch.loop import MS, Coro, World
 from stackpitch.platform import config, watching
 from stackpitch.platform.discovery import Discovery
-from stackpitch.platform.door import PlatformDoor
-from stackpitch.platform.plan import Plan, planned
+from stackpitch.platform.listener import PlatformListener
+from stackpitch.platform.plan import Plan, make_plan
 from stackpitch.preferences import Preferences
 from stackpitch.wire.platform import Listed
 
 if TYPE_CHECKING:
-    from stackpitch.platform.lines import Lines
+    from stackpitch.platform.lines import JsonLog
 
 TRIES, PAUSE = 20, 100 * MS  # what a new configuration has to tell counts four seconds after the signal
 RESTART = ("name", "listen")  # fields that can't change while the process runs
 
 
-class Reloading:
+class Reloader:
     """`plan` is the one in force."""
 
     def __init__(
         self,
         world: World,
-        log: "Lines",
+        log: "JsonLog",
         given: Mapping[str, str],
         plan: Plan,
         host: Host,
         budget: Budget,
-        door: PlatformDoor,
+        door: PlatformListener,
         discovery: Discovery,
     ) -> None:
         self.world, self.log, self.given, self.plan = world, log, given, plan
@@ -52,17 +52,17 @@
             try:
                 self.reload()
                 return
-            except config.Unreadable as wrong:
+            except config.UnreadableConfig as wrong:
                 if not tried:
                     self.log.error("reload_failed", why=str(wrong), remedy=wrong.remedy, again=TRIES - 1)
-            except config.BadConfig as wrong:
+            except config.ConfigError as wrong:
                 self.log.error("reload_failed", why=str(wrong))
                 return
             yield from self.world.sleep(PAUSE)
 
     def reload(self) -> None:
         """Reads the configuration anew and puts it in force. Raises BadConfig, and then nothing has changed."""
-        new = planned(self._with_kept_fields(config.read(self.given)), self.world.descriptors())
+        new = make_plan(self._with_kept_fields(config.read(self.given)), self.world.descriptors())
         old, self.plan = self.plan, new
         same = new.same_settings(old)
         if not same:
@@ -102,7 +102,7 @@
 
     def _take_discovery(self, new: Plan, old: Plan) -> None:
         conf = new.conf
-        self.discovery.times = watching.times(watching.share(conf.name, conf.seed))
+        self.discovery.times = watching.watch_times(watching.gateway_spread(conf.name, conf.seed))
         if not self.discovery.fresh and conf.known != old.conf.known:  # the known list is all there is so far
             known = conf.known
             self.discovery.take(Listed(known.revision, True, known.members, known.bad))
--- a/stackpitch/platform/ask.py
+++ b/stackpitch/platform/request.py
@@ -8,7 +8,7 @@
 from stackpitch.wire import http
 
 
-class PlatformAsk(Ask):
+class PlatformRequest(Ask):
     """`headers`: the request's fields that go on to the servers with it."""
 
     def __init__(
@@ -22,12 +22,14 @@
     ) -> None:
         super().__init__(gen, client, target)
         self.method, self.headers, self.body = method, headers, body
-        self.written: Leg | None = None  # the newest leg whose request has been handed over whole
+        self.sent_leg: Leg | None = None  # the newest leg whose request has been handed over whole
         self.held_since: Time | None = (
             None  # its last read or a later answer ended then; None: a stream has taken the state
         )
-        self.held = False  # a state or place may be held; a started stream lets go of it
-        self.doubt = False  # a read may have ended well unseen: what it left is held, whatever started since
+        self.may_hold_state = False  # a state or place may be held; a started stream lets go of it
+        self.read_outcome_unknown = (
+            False  # a read may have ended well unseen: what it left is held, whatever started since
+        )
 
     def _final(self, how: str) -> None:
         super()._final(how)
--- a/stackpitch/platform/serve.py
+++ b/stackpitch/platform/serve.py
@@ -15,13 +15,13 @@
 from stackpitch.loop import MS, SECOND, Coro, Group, LocalFault, World
 from stackpitch.platform import config, watching
 from stackpitch.platform.discovery import Discovery
-from stackpitch.platform.door import PlatformDoor
-from stackpitch.platform.leases import Servers
-from stackpitch.platform.lines import Lines, NoCounts
-from stackpitch.platform.plan import CLIENTS as CLIENTS
-from stackpitch.platform.plan import GAP, MAX_BODY, MAX_HEAD, planned
-from stackpitch.platform.plan import RESERVE as RESERVE
-from stackpitch.platform.reloading import Reloading
+from stackpitch.platform.lines import JsonLog, NullMetrics
+from stackpitch.platform.listener import PlatformListener
+from stackpitch.platform.plan import CLIENT_SHARE as CLIENT_SHARE
+from stackpitch.platform.plan import GAP, MAX_BODY, MAX_HEAD, make_plan
+from stackpitch.platform.plan import RESERVED_DESCRIPTORS as RESERVED_DESCRIPTORS
+from stackpitch.platform.reloading import Reloader
+from stackpitch.platform.server_client import PlatformServerClient
 from stackpitch.preferences import Preferences
 
 T = TypeVar("T")
@@ -36,7 +36,7 @@
 
 
 def serve(
-    world: World, given: Mapping[str, str], ready: Callable[[Host, PlatformDoor], None] | None = None
+    world: World, given: Mapping[str, str], ready: Callable[[Host, PlatformListener], None] | None = None
 ) -> Coro[None]:
     """Runs a gateway. Raises BadConfig, and OSError on an address that is taken.
 
@@ -46,9 +46,9 @@
     """
     caught = yield from _patiently(world, lambda: world.signals(*STOP_SIGNALS, signal.SIGHUP))
     conf = config.read(given)
-    log: Any = Lines(conf.name)
-    counts: Any = NoCounts()
-    plan = planned(conf, world.descriptors())
+    log: Any = JsonLog(conf.name)
+    counts: Any = NullMetrics()
+    plan = make_plan(conf, world.descriptors())
 
     def body(group: Group) -> Coro[None]:
         budget = Budget(plan.engines - plan.calls, plan.calls)
@@ -60,13 +60,13 @@
             conf.name,
             Roster(world, plan.kinds),
             plan.bounds,
-            Servers(),
+            PlatformServerClient(),
             conf.seed,
             Preferences(),
             plan.arguments,
             budget=budget,
         )
-        door = PlatformDoor(
+        door = PlatformListener(
             world,
             host,
             log,
@@ -86,16 +86,21 @@
         door.products, door.customers = plan.products, plan.customers
         door.told_to_stop = lambda: world.first_of(STOP_SIGNALS)
         discovery = Discovery(
-            world, host, log, conf.discovery, conf.known, watching.times(watching.share(conf.name, conf.seed))
+            world,
+            host,
+            log,
+            conf.discovery,
+            conf.known,
+            watching.watch_times(watching.gateway_spread(conf.name, conf.seed)),
         )
-        reloading = Reloading(world, log, given, plan, host, budget, door, discovery)
-        host.telling.everything = given.get(TRACE_ALL) == "all"
+        reloading = Reloader(world, log, given, plan, host, budget, door, discovery)
+        host.telling.log_all = given.get(TRACE_ALL) == "all"
         host.begin()
         listener = yield from _patiently(world, lambda: world.listen(conf.listen))
         group.spawn(door.serve(group, listener), "door")
         group.spawn(discovery.run(), "discovery")
         group.spawn(_sweep(world, host), "sweep")
-        group.spawn(_each(world, SAY, log.classes), "classes")
+        group.spawn(_each(world, SAY, log.log_outcomes), "classes")
         group.spawn(_each(world, COUNT, lambda: _tell_counts(world, host, door, log)), "counters")
         group.spawn(_each(world, HEARTBEAT, _nothing), "heartbeat")
         group.spawn(_ready(world, door, discovery), "ready")
@@ -130,7 +135,7 @@
         while door.accepting or host.asks or host.calls or door.connections:
             door.close_idle()
             yield from world.sleep(20 * MS)
-        log.classes()
+        log.log_outcomes()
         _tell_counts(world, host, door, log)
         log.info("stopped")
         group.cancel()
@@ -150,7 +155,7 @@
     raise AssertionError("the last try returns or raises")
 
 
-def _ready(world: World, door: PlatformDoor, discovery: Discovery) -> Coro[None]:
+def _ready(world: World, door: PlatformListener, discovery: Discovery) -> Coro[None]:
     """Ready with a fresh list; with the known one alone if discovery is silent."""
     with world.limit(SECOND // 2):
         while not discovery.fresh:
@@ -158,7 +163,7 @@
     door.ready = True
 
 
-def _reloads(caught: Callable[[], Coro[int]], reloading: Reloading) -> Coro[None]:
+def _reloads(caught: Callable[[], Coro[int]], reloading: Reloader) -> Coro[None]:
     """While the gateway stops: requests still come, and of signals that are pending together the system tells SIGTERM
     before a SIGHUP that was sent first."""
     while True:
@@ -166,7 +171,7 @@
             yield from reloading.reload_patiently()
 
 
-def _tell_counts(world: World, host: Host, door: PlatformDoor, log: Lines) -> None:
+def _tell_counts(world: World, host: Host, door: PlatformListener, log: JsonLog) -> None:
     """What came of each class, why connections ended, what was not permitted, and which calls of the system failed, each
     since the last time."""
     log.counters(host.counters)
--- a/stackpitch/platform/watching.py
+++ b/stackpitch/platform/watching.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
+class WatchTimes:
     wait: Time  # a watch may wait so long for news
     grace: Time  # and its answer take so long after that; then it is silent
     pause: Time  # before the first try after a failure: gateways that all lost their watch at once don't ask at once
@@ -43,16 +43,16 @@
         return BOUND - max(self.silent(), self.back())
 
 
-def share(name: str, seed: int) -> float:
+def gateway_spread(name: str, seed: int) -> float:
     """From 0 to 1, another one at each gateway."""
     return crc32(f"{seed} {name}".encode()) / (1 << 32)
 
 
-def times(spread: float) -> Times:
+def watch_times(spread: float) -> WatchTimes:
     """`spread`: from 0 to 1, the gateway's own. Tries of different gateways drift apart by it."""
     part = BOUND // 30
     gaps = tuple(int(count * part * (LEAST_SHARE + (1 - LEAST_SHARE) * spread)) for count in (1, 2, 4))
-    return Times(
+    return WatchTimes(
         wait=9 * part,
         grace=3 * part,
         pause=int(part * spread / 2),
--- a/stackpitch/rehearse/broken/gateways.py
+++ b/stackpitch/rehearse/broken/gateways.py
@@ -41,14 +41,14 @@
 
 def drains() -> None:
     """Servers that drain or are gone stay ready in the module's eyes."""
-    make = Roster._server
+    make = Roster._update_server
 
     def ready(self: Roster, one: Entry) -> Server:
         server = make(self, one)
         server.state = "ready"
         return server
 
-    Roster._server = ready  # type: ignore[method-assign]
+    Roster._update_server = ready  # type: ignore[method-assign]
 
 
 def cold() -> None:
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -39,9 +39,9 @@
 from stackpitch.gateway import logs
 from stackpitch.gateway.admin import Admin
 from stackpitch.gateway.door import Door
-from stackpitch.gateway.keeper import Keeper
 from stackpitch.gateway.metrics import Metrics
-from stackpitch.gateway.serve import _routes, host, reading, ticks
+from stackpitch.gateway.roster_manager import RosterManager
+from stackpitch.gateway.serve import _admin_routes, build_host, build_reading, ticks
 from stackpitch.loop import MS, SECOND, ConnectFailed, Coro, Group, Lost, RealWorld, Stream
 from stackpitch.settings import Settings
 from stackpitch.settings.load import check
@@ -254,7 +254,7 @@
             yield from self.do_raw(*text.split(" ", 2)[1:])
         elif text.startswith("file "):
             (self.folder / "fleet").write_text(text[5:])
-            self.rejected = self.keeper.reload_here()
+            self.rejected = self.roster_manager.reload_blocking()
         else:
             words = [word for word in text.split() if "=" not in word]
             given = dict(word.split("=") for word in text.split() if "=" in word)
@@ -331,14 +331,14 @@
             Settings, {**tree, "roster": str(self.folder / "fleet"), "kept": str(self.folder / "kept")}, "x"
         )
         self.settings = settings
-        log, metrics, door = logs.make("g0", "error", "json"), Metrics(), settings.door
-        self.gateway = host(self.world, self.group, settings, log, metrics)
+        log, metrics, door = logs.make_logger("g0", "error", "json"), Metrics(), settings.door
+        self.gateway = build_host(self.world, self.group, settings, log, metrics)
         self.door = Door(
             self.world,
             self.gateway,
             log,
             metrics,
-            reading(settings),
+            build_reading(settings),
             max_connections=door.max_connections,
             max_bodies=door.max_bodies,
             max_body=door.max_body,
@@ -349,10 +349,10 @@
             stall=ticks(door.stall_ms),
             margin=ticks(door.answer_margin_ms),
         )
-        self.keeper = Keeper(self.world, self.group, log, metrics, self.gateway, settings)
-        self.keeper.begin()
+        self.roster_manager = RosterManager(self.world, self.group, log, metrics, self.gateway, settings)
+        self.roster_manager.begin()
         if "peers" in self.over:
-            routes = _routes(self.gateway, self.keeper, metrics)
+            routes = _admin_routes(self.gateway, self.roster_manager, metrics)
             self.group.spawn(Admin(self.world, routes).serve(self.group, self.admin), "admin")
         self.listener = self.world.listen(("127.0.0.1", 0))
         self.group.spawn(self.door.serve(self.group, self.listener), "door")
@@ -378,7 +378,7 @@
             self.states[name]["started_unix_ms"] = self.world.wall_ms() - int(started)
         self.version += 1
         self.write_list()
-        assert self.keeper.reload_here(force=True) is None
+        assert self.roster_manager.reload_blocking(force=True) is None
 
     def do_wait(self, ms: str) -> Coro[None]:
         yield from self.world.sleep(int(ms) * MS)
@@ -450,9 +450,11 @@
         (self.folder / "fleet").write_text('{"version": 7, "servers": [')
         old = self.gateway
         metrics = Metrics()
-        self.gateway = host(self.world, self.group, self.settings, old.logger, metrics)
-        self.keeper = Keeper(self.world, self.group, old.logger, metrics, self.gateway, self.settings)
-        self.keeper.begin()
+        self.gateway = build_host(self.world, self.group, self.settings, old.logger, metrics)
+        self.roster_manager = RosterManager(
+            self.world, self.group, old.logger, metrics, self.gateway, self.settings
+        )
+        self.roster_manager.begin()
         self.door.host = self.gateway
 
     def do_leave(self, name: str) -> None:
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from stackpitch.gateway.counters import CAUSES, EDGES, QUANTILES, Counters, Histogram
+from stackpitch.gateway.counters import BUCKET_EDGES, CAUSES, QUANTILES, Counters, Histogram
 from stackpitch.interface import MS, SECOND, Generation, Leg, Product, Server
 
 CHAT = Product("chat", "idempotent", "all", 0, SECOND, 400, 600, 4 * SECOND, 1.0, 0.1)
@@ -37,7 +37,7 @@
     of = Histogram()
     assert of.quantiles() == []
     of.add(10**9)
-    assert of.quantiles() == [EDGES[-1] // MS] * 3 == [20_480] * 3
+    assert of.quantiles() == [BUCKET_EDGES[-1] // MS] * 3 == [20_480] * 3
     of.add(0)
     assert of.quantiles()[0] == 10
 
@@ -62,8 +62,8 @@
 )
 def test_what_is_lost_to_which_cause(legs: list, end: str, first: int | None, cause: str | None) -> None:
     counters = Counters()
-    counters.over(generation(*legs), end, first)
-    (line,) = counters.take()
+    counters.ended(generation(*legs), end, first)
+    (line,) = counters.take_lines()
     assert (line["ended"], line["in_time"], line["lost"]) == (
         1,
         int(cause is None),
@@ -90,7 +90,7 @@
         ([lost, alone], 0),
     ):
         counters.leg_ended(400, generation(*legs).legs[-1], kept)
-    assert counters.take()[0]["kept_tok"] == {
+    assert counters.take_lines()[0]["kept_tok"] == {
         "readers": [700, 2000],
         "writers": [900, 3000],
     }  # what was fetched is left out
@@ -101,9 +101,9 @@
     gen = generation(("reader", "read"), ("writer", None))
     counters.leg_ended(200 + 40 * MS, gen.legs[0], 0)
     gen.legs[1].sent = 600
-    counters.started(600 + 15 * MS, gen.legs[1])
-    counters.started(200 + 300 * MS, generation(("mixed", None)).legs[0])
-    assert counters.take()[0]["wait_ms"] == {
+    counters.first_token_received(600 + 15 * MS, gen.legs[1])
+    counters.first_token_received(200 + 300 * MS, generation(("mixed", None)).legs[0])
+    assert counters.take_lines()[0]["wait_ms"] == {
         "reader": [40] * 3,
         "writer": [20] * 3,
         "mixed": [320] * 3,
@@ -118,12 +118,12 @@
     )
     for number in range(30_000):
         gen = generation(("writer", "streamed"), product=products[number % 3])
-        counters.started(number, gen.legs[0])
+        counters.first_token_received(number, gen.legs[0])
         counters.leg_ended(number, gen.legs[0], 5)
-        counters.over(gen, "streamed", number)
-    assert len(counters.classes) == 3
+        counters.ended(gen, "streamed", number)
+    assert len(counters.by_product) == 3
     assert sum(
-        len(one.counts) for of in counters.classes.values() for one in of.waits.values()
-    ) == 3 * 4 * len(EDGES)
-    assert [line["ended"] for line in counters.take()] == [10_000] * 3
-    assert counters.take() == [] and not counters.classes
+        len(one.counts) for of in counters.by_product.values() for one in of.waits.values()
+    ) == 3 * 4 * len(BUCKET_EDGES)
+    assert [line["ended"] for line in counters.take_lines()] == [10_000] * 3
+    assert counters.take_lines() == [] and not counters.by_product
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -8,8 +8,8 @@
 from stackpitch.loop import MS, SECOND, ConnectFailed, Coro, Group, Lost, Stream, World
 from stackpitch.loop.real import RealWorld
 from stackpitch.loop.virtual import VirtualWorld
-from stackpitch.platform.door import PlatformDoor
-from stackpitch.platform.lines import NoCounts
+from stackpitch.platform.lines import NullMetrics
+from stackpitch.platform.listener import PlatformListener
 from stackpitch.wire import http
 
 CHAT = Product("chat", "idempotent", "all", 0, 10_000, 0, 600, 40_000, 1, 0)
@@ -32,7 +32,7 @@
         ask.leave()
 
 
-def door(world: World, host: Any, **odd: Any) -> PlatformDoor:
+def door(world: World, host: Any, **odd: Any) -> PlatformListener:
     given: dict[str, Any] = {
         "max_connections": 50,
         "max_bodies": 1 << 20,
@@ -46,7 +46,7 @@
         "fresh": SECOND // 5,
     } | odd
     log: Any = SimpleNamespace(exception=lambda event, **fields: print(event, fields))
-    made = PlatformDoor(world, host, log, NoCounts(), None, **given)  # type: ignore[arg-type]
+    made = PlatformListener(world, host, log, NullMetrics(), None, **given)  # type: ignore[arg-type]
     made.products = {"chat": CHAT}
     return made
 
@@ -93,7 +93,7 @@
     """In turn: the request is in the kernel as the gateway looks; it comes on the half-closed connection; both."""
 
     def body(
-        world: RealWorld, group: Group, made: PlatformDoor, host: Answering, address: Any
+        world: RealWorld, group: Group, made: PlatformListener, host: Answering, address: Any
     ) -> Coro[list[Any]]:
         seen = []
         for when in ("before", "after", "both"):
@@ -134,7 +134,9 @@
 def test_an_answer_before_a_close_is_not_lost_to_a_reset() -> None:
     """The client goes on sending while the last answer of its connection is on its way to it."""
 
-    def body(world: RealWorld, group: Group, made: PlatformDoor, host: Answering, address: Any) -> Coro[int]:
+    def body(
+        world: RealWorld, group: Group, made: PlatformListener, host: Answering, address: Any
+    ) -> Coro[int]:
         whole = 0
         for number in range(20):
             made.stopping = False
@@ -153,7 +155,7 @@
 
 
 def test_one_that_asks_and_never_reads_does_not_keep_its_place() -> None:
-    def body(world: World, group: Group, made: PlatformDoor, host: Answering, address: Any) -> Coro[bool]:
+    def body(world: World, group: Group, made: PlatformListener, host: Answering, address: Any) -> Coro[bool]:
         stream = yield from world.connect(address, SECOND)
         try:
             for _ in range(6000):  # more answers than the buffers between have room for
@@ -172,7 +174,9 @@
 def test_one_that_sends_on_behind_its_last_answer_is_read_no_further_than_a_body() -> None:
     """At full speed for half a second it would take the others' time; 16 MB leave room for what systems buffer."""
 
-    def body(world: RealWorld, group: Group, made: PlatformDoor, host: Answering, address: Any) -> Coro[int]:
+    def body(
+        world: RealWorld, group: Group, made: PlatformListener, host: Answering, address: Any
+    ) -> Coro[int]:
         stream, sent = (yield from world.connect(address, SECOND)), 0
         stream.write(b"GET /elsewhere HTTP/1.1\r\n\r\n")
         try:
@@ -206,7 +210,7 @@
     """Ten of each kind, each coming again as it is shut out; fifty good requests among them, one every 20 ms."""
 
     def body(
-        world: RealWorld, group: Group, made: PlatformDoor, host: Answering, address: Any
+        world: RealWorld, group: Group, made: PlatformListener, host: Answering, address: Any
     ) -> Coro[dict[str, int]]:
         most = {"connections": 0, "bodies": 0, "lingering": 0, "waiting": 0, "late": 0, "lost": 0}
 
@@ -256,7 +260,7 @@
     """An error that nobody thought of costs its request alone, which is still owed an answer."""
 
     def body(
-        world: RealWorld, group: Group, made: PlatformDoor, host: Answering, address: Any
+        world: RealWorld, group: Group, made: PlatformListener, host: Answering, address: Any
     ) -> Coro[list[int | None]]:
         class Odd(dict[str, Product]):
             def get(self, *_: Any) -> Any:
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -17,7 +17,7 @@
     may_send,
     may_start,
 )
-from stackpitch.gateway.trace import MOST_TOLD, Telling
+from stackpitch.gateway.trace import MAX_LOGGED_PER_SECOND, RequestLogLimiter
 from stackpitch.interface import SECOND, Effect, Generation, Leg, Outcome, Product, Server
 
 NOW = Now(10 * SECOND, deadline=11 * SECOND)
@@ -81,10 +81,10 @@
 
 
 def test_requests_that_were_not_served_are_told_so_many_a_second() -> None:
-    telling = Telling()
-    assert not telling.tells(0, "streamed")
-    assert [telling.tells(5 * SECOND, "throttled") for _ in range(MOST_TOLD + 3)] == [True] * MOST_TOLD + [
-        False
-    ] * 3
-    assert telling.tells(6 * SECOND, "throttled") and telling.take_left_out() == 3
-    assert Telling(everything=True).tells(0, "streamed")
+    telling = RequestLogLimiter()
+    assert not telling.allows(0, "streamed")
+    assert [telling.allows(5 * SECOND, "throttled") for _ in range(MAX_LOGGED_PER_SECOND + 3)] == [
+        True
+    ] * MAX_LOGGED_PER_SECOND + [False] * 3
+    assert telling.allows(6 * SECOND, "throttled") and telling.take_suppressed() == 3
+    assert RequestLogLimiter(log_all=True).allows(0, "streamed")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -15,9 +15,9 @@
 from stackpitch.interface import Generation, Leg, Product, Server
 from stackpitch.loop import SECOND
 from stackpitch.platform import config, watching
-from stackpitch.platform.lines import Lines
-from stackpitch.platform.plan import planned
-from stackpitch.platform.serve import CLIENTS, MAX_BODY, RESERVE
+from stackpitch.platform.lines import JsonLog
+from stackpitch.platform.plan import make_plan
+from stackpitch.platform.serve import CLIENT_SHARE, MAX_BODY, RESERVED_DESCRIPTORS
 from stackpitch.plausible import Doubts
 from stackpitch.wire import http, platform
 
@@ -31,7 +31,7 @@
 
 def test_the_times_of_discovery_fit_its_bound() -> None:
     for spread in (0.0, 0.5, 1.0):
-        times = watching.times(spread)
+        times = watching.watch_times(spread)
         assert times.margin() >= SECOND and times.taken_up() <= 4 * SECOND
         # No try is given up for others before a good answer has had its time, also where the gaps are shortest.
         assert sum(times.gap(place) for place in range(watching.TRIES)) >= times.answer
@@ -42,7 +42,7 @@
     """200 that lost their watch in the same moment; 20 a hundredth of a second would be even for the first try."""
     asked = [0] * 1200
     for number in range(200):
-        times = watching.times(watching.share(f"n{number}", number))
+        times = watching.watch_times(watching.gateway_spread(f"n{number}", number))
         when = times.pause
         for place in range(14):
             asked[when // 100] += 1
@@ -194,7 +194,7 @@
 
 def test_what_waits_for_slow_clients_follows_from_the_limits() -> None:
     for memory_mb, sockets in ((24, 32), (64, 256), (64, 512), (128, 1024), (1024, 64)):
-        clients = int((sockets - RESERVE) * CLIENTS)
+        clients = int((sockets - RESERVED_DESCRIPTORS) * CLIENT_SHARE)
         one = pacing.buffer(memory_mb << 17, clients, MAX_BODY)
         assert one * clients <= memory_mb << 17 and one <= MAX_BODY
     # 20 KB in events of 200 bytes, a token every 60 ms: 100 tokens, owed in 6 s.
@@ -284,20 +284,20 @@
     (tmp_path / "c").write_text(json.dumps(good))
     assert config.read({"RELAY_CONFIG": str(tmp_path / "c")}).seed == 31
     (tmp_path / "c").write_text(json.dumps(good | {part: value}))
-    with pytest.raises(config.BadConfig, match=named):
+    with pytest.raises(config.ConfigError, match=named):
         config.read({"RELAY_CONFIG": str(tmp_path / "c")})
 
 
 def test_what_became_of_each_product_is_told(capsys: pytest.CaptureFixture[str]) -> None:
-    lines = Lines("n0")
+    lines = JsonLog("n0")
     for end, legs in (
         ("streamed", ["r1 read", "w1 streamed"]),
         ("throttled", ["r1 time-out no word in time"]),
         ("throttled", []),
     ):
         lines.log(0, "generation", product="chat", end=end, legs=legs)
-    lines.classes()
-    lines.classes()  # nothing came since
+    lines.log_outcomes()
+    lines.log_outcomes()  # nothing came since
     told = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
     assert [one["chat"] for one in told] == [
         {"came": 3, "streamed": 1, "throttled after time-out": 1, "throttled unsent": 1}
@@ -357,10 +357,10 @@
 def test_an_address(text: str, good: bool) -> None:
     if good:
         host, _, port = text.rpartition(":")
-        assert config.address(text, "a") == (host, int(port))
+        assert config.parse_address(text, "a") == (host, int(port))
     else:
-        with pytest.raises(config.BadConfig, match="an IPv4 address"):
-            config.address(text, "a")
+        with pytest.raises(config.ConfigError, match="an IPv4 address"):
+            config.parse_address(text, "a")
 
 
 def test_the_module_is_told_of_no_messages_that_this_front_does_not_carry(tmp_path: Path) -> None:
@@ -382,5 +382,5 @@
             }
         )
     )
-    arguments = planned(config.read({"RELAY_CONFIG": str(tmp_path / "c")}), 1024).arguments
+    arguments = make_plan(config.read({"RELAY_CONFIG": str(tmp_path / "c")}), 1024).arguments
     assert arguments["peers"] is False and arguments["probes"] is False
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -13,13 +13,13 @@
 from stackpitch.loop import MS, SECOND, Coro, Group, Lost, Stream, Task
 from stackpitch.loop.virtual import VirtualWorld
 from stackpitch.platform import serve
-from stackpitch.platform.config import LEAST
-from stackpitch.platform.door import PlatformDoor
-from stackpitch.platform.lines import NoCounts
-from stackpitch.platform.plan import CLIENTS, RESERVE
+from stackpitch.platform.config import MINIMUMS
+from stackpitch.platform.lines import NullMetrics
+from stackpitch.platform.listener import PlatformListener
+from stackpitch.platform.plan import CLIENT_SHARE, RESERVED_DESCRIPTORS
 from stackpitch.wire import http
 
-CLIENT_PLACES = int((MOST - RESERVE) * CLIENTS)  # for clients, of all descriptors
+CLIENT_PLACES = int((MOST - RESERVED_DESCRIPTORS) * CLIENT_SHARE)  # for clients, of all descriptors
 
 
 @pytest.mark.parametrize("sockets", [MOST, 4 * MOST], ids=["as many as configured", "fewer than configured"])
@@ -116,11 +116,11 @@
     came: list[Accepted] = []
     most: list[int] = []
     host = SimpleNamespace(name="n")
-    door = PlatformDoor(
+    door = PlatformListener(
         VirtualWorld(1),
         host,
         None,
-        NoCounts(),
+        NullMetrics(),
         None,
         max_connections=20,
         max_bodies=1,
@@ -137,7 +137,7 @@
 
 
 def test_the_reserve_holds_all_that_is_open_beside_clients_and_servers() -> None:
-    assert serve.RESERVE <= 24 and LEAST["sockets"] - serve.RESERVE >= 8
+    assert serve.RESERVED_DESCRIPTORS <= 24 and MINIMUMS["sockets"] - serve.RESERVED_DESCRIPTORS >= 8
 
 
 @pytest.mark.parametrize("kept", [True, False], ids=["given back", "dropped"])
--- a/tests/test_releasing.py
+++ b/tests/test_releasing.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from stackpitch.gateway.trace import Telling
+from stackpitch.gateway.trace import RequestLogLimiter
 from stackpitch.interface import MS, SECOND, Server
 from stackpitch.loop import Coro, Group
 from stackpitch.loop.virtual import VirtualWorld
@@ -35,7 +35,7 @@
         self.world, self.silent, self.told = VirtualWorld(1), silent, list[tuple[str, int]]()
         servers = [Server(name, "a", "w", 1, "writer", 1000) for name in names]
         self.roster, self.pools, self.asks = SimpleNamespace(addresses=dict.fromkeys(servers)), {}, {}
-        self.telling, self.began = Telling(), self.world.now()
+        self.telling, self.began = RequestLogLimiter(), self.world.now()
         self.held, self.warnings = list[float](), list[dict[str, Any]]()
         self.metrics: Any = SimpleNamespace(
             releases=SimpleNamespace(labels=lambda _: SimpleNamespace(inc=int)),
--- a/tests/test_settings_isolation.py
+++ b/tests/test_settings_isolation.py
@@ -29,7 +29,7 @@
 from stackpitch.interface import Server as Listed
 from stackpitch.loop import Coro, Group
 from stackpitch.loop.virtual import VirtualWorld
-from stackpitch.platform.lines import Lines
+from stackpitch.platform.lines import JsonLog
 from stackpitch.platform.serve import serve
 from stackpitch.preferences import Preferences, RuledBrain
 
@@ -474,10 +474,10 @@
 
 
 def test_classes_named_as_the_fields_of_a_line_are_told(capsys: pytest.CaptureFixture[str]) -> None:
-    lines = Lines("n0")
+    lines = JsonLog("n0")
     for product in ("event", "level", "gateway", "self", "chat"):
         lines.log(0, "generation", product=product, end="streamed", legs=[])
-    lines.classes()
+    lines.log_outcomes()
     told = json.loads(capsys.readouterr().err)
     assert (told["event"], told["level"], told["gateway"]) == ("classes", "info", "n0")
     assert {name for name, value in told.items() if value == {"came": 1, "streamed": 1}} == {
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -340,7 +340,7 @@
 
     def __init__(self):
         super().__init__()
-        self.roster, self.asks = SimpleNamespace(vocabularies={}, servers=self.servers, applied=0), {}
+        self.roster, self.asks = SimpleNamespace(vocabularies={}, servers=self.servers, lists_applied=0), {}
 
     @property
     def brain(self):
@@ -353,7 +353,7 @@
         return self.made
 
     def do_vocab(self, **given):
-        self.roster.applied += 1
+        self.roster.lists_applied += 1
         for name, kind in given.items():
             before = self.servers[name]
             if self.roster.vocabularies.get(before, kind) != kind:
