--- a/stackpitch/gateway/keeper/history.py
+++ b/stackpitch/gateway/roster_manager/history.py
@@ -91,7 +91,7 @@
         if store.recovery_note:
             self.log.warning("store_found", what=store.recovery_note)
             store.recovery_note = ""
-        self.metrics.store_trouble.set(bool(store.error))
+        self.metrics.store_failing.set(bool(store.error))
         if store.error:
             self.log.error("store_trouble", why=store.error, meaning="lists are not kept; serving goes on")
         else:
