--- a/soak/mutants/answers.py
+++ b/soak/mutants/answers.py
@@ -36,8 +36,8 @@
             refuse(self, *args, **fields)
             return
         acted()
-        self.cut = True
-        self._final("refused")
+        self.stream_cut = True
+        self._mark_answered("refused")
         if self.client is not None:
             self.client.close()
 
@@ -63,7 +63,7 @@
         if client is not None and not self.answered:
             acted()
             at = self.gen.gives_up + AFTER_TIME
-            self._put = partial(_write_later, client, at)
+            self._write = partial(_write_later, client, at)
         refuse(self, *args, **fields)
 
     patch(PlatformAsk, "refuse", late)
@@ -77,7 +77,7 @@
         finish(self)
         if self.client is not None:
             acted()
-            self._put(OWN_ANSWER)
+            self._write(OWN_ANSWER)
 
     patch(PlatformAsk, "finish", more)
 
@@ -91,7 +91,7 @@
         refuse(self, *args, **fields)
         if not answered and self.client is not None and due():
             acted()
-            self._put(OWN_ANSWER)
+            self._write(OWN_ANSWER)
 
     patch(PlatformAsk, "refuse", more)
 
@@ -104,21 +104,21 @@
             acted()
         self.finish()
 
-    patch(PlatformAsk, "break_off", end)
+    patch(PlatformAsk, "fail_stream", end)
 
 
 def cut_stream() -> None:
     """A stream is cut off at one piece in twenty, while its worker writes."""
-    pass_on, due = PlatformAsk.pass_on, every(CUT_PIECE)
+    forward, due = PlatformAsk.forward, every(CUT_PIECE)
 
     def cut(self: Any, pieces: Any) -> bool:
         if not due():
-            return pass_on(self, pieces)
+            return forward(self, pieces)
         acted()
-        self.break_off("cut", "")
+        self.fail_stream("cut", "")
         return False
 
-    patch(PlatformAsk, "pass_on", cut)
+    patch(PlatformAsk, "forward", cut)
 
 
 def late_end() -> None:
@@ -127,7 +127,7 @@
     def late(self: Any) -> None:
         if self.answered:
             return
-        self._final("streamed")
+        self._mark_answered("streamed")
         if self.client is not None:
             acted()
             _write_later(self.client, self.client.world.now() + LATE_END, http.LAST_CHUNK)
@@ -136,7 +136,7 @@
 
 
 def _hold_back(held: Callable[[Any], bool]) -> None:
-    more = attempts.LegRun._more
+    more = attempts.LegRunner._read_more
 
     def late(self: Any, stream: Any, most: int = 65536) -> Any:
         if self.leg.streaming and held(self):
@@ -144,7 +144,7 @@
             yield from self.host.world.sleep(HELD_BACK)
         yield from more(self, stream, most)
 
-    patch(attempts.LegRun, "_more", late)
+    patch(attempts.LegRunner, "_read_more", late)
 
 
 def held_events() -> None:
@@ -192,7 +192,7 @@
 
 def changed_body() -> None:
     """A byte of the request's body is another one in one attempt in nine."""
-    request, due = PlatformLeg._request, every(RARE)
+    request, due = PlatformLeg._build_request, every(RARE)
 
     def change(self: Any) -> bytes:
         data = request(self)
@@ -201,7 +201,7 @@
         acted()
         return data[:-1] + b" "
 
-    patch(PlatformLeg, "_request", change)
+    patch(PlatformLeg, "_build_request", change)
 
 
 MUTANTS = {
--- a/soak/mutants/clients.py
+++ b/soak/mutants/clients.py
@@ -5,9 +5,9 @@
 from typing import Any
 
 from soak.mutants.acting import Mutant, acted, patch
-from stackpitch.gateway.ask import Ask
-from stackpitch.gateway.host.told import Told
-from stackpitch.gateway.intake import Intake
+from stackpitch.gateway.client_request import ClientRequest
+from stackpitch.gateway.host.events import EventDispatcher
+from stackpitch.gateway.request_receiving import RequestReceiver
 from stackpitch.loop import MS, Time
 from stackpitch.platform.leg import PlatformLeg
 
@@ -18,51 +18,51 @@
 
 def client_left() -> None:
     """Nobody looks whether the client has left, nor is told."""
-    patch(Ask, "left", lambda self: False)
+    patch(ClientRequest, "client_left", lambda self: False)
 
     def unheard(self: Any, ask: Any) -> None:
         acted()
 
-    patch(Told, "departed", unheard)
+    patch(EventDispatcher, "client_departed", unheard)
 
 
 def client_left_late() -> None:
     """That a client has left is noticed half a second late."""
-    departed = Told.departed
-    patch(Ask, "left", lambda self: False)
+    departed = EventDispatcher.client_departed
+    patch(ClientRequest, "client_left", lambda self: False)
 
     def later(self: Any, ask: Any) -> None:
         acted()
         self.world.at(self.world.now() + NOTICED_LATE, lambda: departed(self, ask))
 
-    patch(Told, "departed", later)
+    patch(EventDispatcher, "client_departed", later)
 
 
 def stopped_client() -> None:
     """A client that stops in the middle of a request is waited for for over four seconds."""
-    begin = Intake.__init__
+    begin = RequestReceiver.__init__
 
     def patient(self: Any, *args: Any, **named: Any) -> None:
         begin(self, *args, **named)
         acted()
         self.head = self.body = STOPPED_FOR
 
-    patch(Intake, "__init__", patient)
+    patch(RequestReceiver, "__init__", patient)
 
 
 def _told_more(more: Callable[[Any], Time]) -> None:
-    request = PlatformLeg._request
+    request = PlatformLeg._build_request
 
     def longer(self: Any) -> bytes:
         said = more(self)
         if said:
             acted()
-        self.ends += said
+        self.deadline += said
         data = request(self)
-        self.ends -= said
+        self.deadline -= said
         return data
 
-    patch(PlatformLeg, "_request", longer)
+    patch(PlatformLeg, "_build_request", longer)
 
 
 def long_deadline() -> None:
--- a/soak/mutants/content.py
+++ b/soak/mutants/content.py
@@ -16,16 +16,16 @@
 
 def _pass_on(changed: Callable[[Any, Sequence[bytes]], Sequence[bytes] | None]) -> None:
     """`changed`: what is passed on in place of a piece, None for the piece itself."""
-    pass_on: PassOn = PlatformAsk.pass_on
+    forward: PassOn = PlatformAsk.forward
 
     def other(self: Any, pieces: Sequence[bytes]) -> bool:
         instead = changed(self, pieces)
         if instead is None:
-            return pass_on(self, pieces)
+            return forward(self, pieces)
         acted()
-        return pass_on(self, instead) if instead else True
+        return forward(self, instead) if instead else True
 
-    patch(PlatformAsk, "pass_on", other)
+    patch(PlatformAsk, "forward", other)
 
 
 def lost_events() -> None:
@@ -90,7 +90,7 @@
     def more(self: Any) -> None:
         if not self.answered and due():
             acted()
-            self.pass_on([OWN_EVENT])
+            self.forward([OWN_EVENT])
         finish(self)
 
     patch(PlatformAsk, "finish", more)
--- a/soak/mutants/effects.py
+++ b/soak/mutants/effects.py
@@ -8,7 +8,7 @@
 from stackpitch.benchlink import settings as reading
 from stackpitch.brain import guard
 from stackpitch.gateway import leg as attempts
-from stackpitch.gateway import permission, repeats
+from stackpitch.gateway import permission, resend_window
 from stackpitch.gateway.outcomes import Phase
 from stackpitch.interface import Product, Scope
 from stackpitch.loop import SECOND
@@ -29,13 +29,13 @@
 
         def copy() -> Any:
             other = yield from self.host.world.connect(address, CONNECT)
-            other.write(self._request())
+            other.write(self._build_request())
             yield from self.host.world.sleep(COPY_LIVES)
             other.close()
 
         if due(self):
             acted()
-            self.host.group.spawn(self.host.counted(copy()), "copy")
+            self.host.group.spawn(self.host.tracked(copy()), "copy")
         return (yield from exchange(self, stream, scope))
 
     patch(PlatformLeg, "_exchange", twice)
@@ -53,7 +53,7 @@
 
 
 def _again(after: Callable[[Any, Any], bool]) -> None:
-    run = attempts.LegRun._run
+    run = attempts.LegRunner._run
 
     def again(self: Any) -> Any:
         end = yield from run(self)
@@ -64,7 +64,7 @@
             end = yield from run(self)
         return end
 
-    patch(attempts.LegRun, "_run", again)
+    patch(attempts.LegRunner, "_run", again)
 
 
 def repeated_effect() -> None:
@@ -78,15 +78,15 @@
 
 
 def _note_sends(notes: Callable[[Any, Any], bool]) -> None:
-    may_send = permission.may_send
+    send_denial = permission.send_denial
 
     def look(leg: Any, now: Any) -> Any:
-        reason = may_send(leg, now)
+        reason = send_denial(leg, now)
         if reason is None and notes(leg, now):
             acted()
         return reason
 
-    patch(attempts, "may_send", look)
+    patch(attempts, "send_denial", look)
 
 
 def late_repeats() -> None:
@@ -97,10 +97,10 @@
         return until(sent, product) + WINDOW_MORE
 
     patch(guard, "remembered_until", later)
-    patch(repeats, "remembered_until", later)
+    patch(resend_window, "remembered_until", later)
 
     def beyond(leg: Any, now: Any) -> bool:
-        latest = repeats.latest(leg)
+        latest = resend_window.resend_deadline(leg)
         return latest is not None and now.time >= latest - WINDOW_MORE
 
     _note_sends(beyond)
--- a/soak/mutants/held.py
+++ b/soak/mutants/held.py
@@ -5,8 +5,8 @@
 
 from soak.mutants.acting import Mutant, acted, every, patch
 from stackpitch.brain.holds import Holds
-from stackpitch.gateway.ask import DEPARTED
-from stackpitch.gateway.leg import LegRun
+from stackpitch.gateway.client_request import DEPARTED
+from stackpitch.gateway.leg import LegRunner
 from stackpitch.loop import MS, Coro
 from stackpitch.platform.leases import Servers
 from stackpitch.platform.releasing import Release
@@ -105,14 +105,14 @@
 def heard_elsewhere() -> None:
     """An attempt counts as arrived if anything came from its worker afterwards, on whatever connection."""
     heard: dict[str, int] = {}
-    more = LegRun._more
+    more = LegRunner._read_more
 
     def noted(self: Any, stream: Any, most: int = 65536) -> Coro[bytes]:
         data = yield from more(self, stream, most)
         heard[self.leg.server.name] = stream.came
         return data
 
-    patch(LegRun, "_more", noted)
+    patch(LegRunner, "_read_more", noted)
     _rest(lambda attempt: heard.get(attempt.server.name, -1) >= attempt.sent + WAY)
 
 
--- a/soak/mutants/process.py
+++ b/soak/mutants/process.py
@@ -19,18 +19,18 @@
 
 def late_requests() -> None:
     """A gateway that stops takes requests for as long as a connection is open."""
-    takes_until = PlatformDoor._takes_until
+    accepts_until = PlatformDoor._accepts_until
 
     def always(self: Any) -> None:
-        if takes_until(self) is not None:
+        if accepts_until(self) is not None:
             acted()
 
-    patch(PlatformDoor, "_takes_until", always)
+    patch(PlatformDoor, "_accepts_until", always)
 
 
 def late_requests_after_reload() -> None:
     """The same, but only where a configuration was read anew before."""
-    reload, takes_until = Reloading.reload, PlatformDoor._takes_until
+    reload, accepts_until = Reloading.reload, PlatformDoor._accepts_until
     reloaded: set[PlatformDoor] = set()
 
     def note(self: Any) -> None:
@@ -38,14 +38,14 @@
         reloaded.add(self.door)
 
     def until(self: Any) -> Any:
-        found = takes_until(self)
+        found = accepts_until(self)
         if found is None or self not in reloaded:
             return found
         acted()
         return None
 
     patch(Reloading, "reload", note)
-    patch(PlatformDoor, "_takes_until", until)
+    patch(PlatformDoor, "_accepts_until", until)
 
 
 def early_end() -> None:
@@ -53,7 +53,7 @@
     close_idle = PlatformDoor.close_idle
 
     def end(door: Any) -> None:
-        if door.host.asks:
+        if door.host.requests:
             acted()
         os._exit(0)
 
@@ -125,7 +125,7 @@
 
 def raised() -> None:
     """Each twentieth request meets an error that nobody thought of."""
-    answer = PlatformDoor._ask
+    answer = PlatformDoor._parse_request
     asked = 0
 
     def fail(self: Any, *args: Any) -> Any:
@@ -136,7 +136,7 @@
             raise KeyError("unthought of")
         return answer(self, *args)
 
-    patch(PlatformDoor, "_ask", fail)
+    patch(PlatformDoor, "_parse_request", fail)
 
 
 MUTANTS = {
--- a/soak/mutants/servers.py
+++ b/soak/mutants/servers.py
@@ -10,7 +10,7 @@
 from stackpitch.brain.slow_start import SlowStart
 from stackpitch.gateway.host import Host
 from stackpitch.gateway.roster import Roster
-from stackpitch.gateway.starts import Starts
+from stackpitch.gateway.start_times import StartTimes
 from stackpitch.loop import MS, SECOND, Coro
 from stackpitch.platform import watching
 from stackpitch.platform.discovery import Discovery
@@ -36,7 +36,7 @@
 
 def drained_late() -> None:
     """Each list counts 1.2 s after it came."""
-    take = Host.take
+    take = Host.apply_roster
 
     def later(self: Any, version: int, entries: Any, current: bool = True) -> None:
         if not self.roster.applied:
@@ -45,7 +45,7 @@
         acted()
         self.world.at(self.world.now() + LATE_LIST, lambda: take(self, version, entries, current))
 
-    patch(Host, "take", later)
+    patch(Host, "apply_roster", later)
 
 
 def draining_unheeded() -> None:
@@ -82,7 +82,7 @@
 
 def deaf_after_reload() -> None:
     """Lists are not taken any more once a configuration was read anew."""
-    reload, take = Reloading.reload, Host.take
+    reload, take = Reloading.reload, Host.apply_roster
     reloaded: set[Host] = set()
 
     def note(self: Any) -> None:
@@ -96,7 +96,7 @@
             take(self, *given, **named)
 
     patch(Reloading, "reload", note)
-    patch(Host, "take", deaf)
+    patch(Host, "apply_roster", deaf)
 
 
 def deaf_to_reload() -> None:
@@ -116,7 +116,7 @@
         if claimed is not None:
             acted()
 
-    patch(Starts, "take", warm)
+    patch(StartTimes, "record", warm)
 
 
 def _cold(changed: Callable[[Any, Any, Any], bool]) -> None:
--- a/stackpitch/gateway/bounds.py
+++ b/stackpitch/gateway/bounds.py
@@ -19,7 +19,7 @@
     max_answer: int
     buffer: int
     stall: Time
-    watch: Time  # after a client's time is up for the module: then the host answers by itself
+    watchdog: Time  # after a client's time is up for the module: then the host answers by itself
     request_level: int
     release: Time = SECOND // 2  # within which what is held is used or released
-    rest: Time = 0  # a connection rests so long before it serves another leg
+    settle: Time = 0  # a connection rests so long before it serves another leg
--- a/stackpitch/gateway/taking.py
+++ b/stackpitch/gateway/client_drain.py
@@ -3,7 +3,7 @@
 from stackpitch.loop import Coro, Stream, Time, World
 
 
-def taken(world: World, client: Stream, below: int, stall: Time, most: Time | None) -> Coro[bool]:
+def drain_client(world: World, client: Stream, below: int, stall: Time, most: Time | None) -> Coro[bool]:
     """Whether no more than `below` is left; else it is cut off: it took nothing for `stall`, or not enough within `most`, as
     one that takes a byte now and then. Raises Lost."""
     until = None if most is None else world.now() + max(stall, most)
--- a/stackpitch/gateway/endings.py
+++ b/stackpitch/gateway/connection_closing.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
+from stackpitch.gateway.client_drain import drain_client
 from stackpitch.gateway.host import Host
-from stackpitch.gateway.permission import Act, Connection, Reason, may_end, may_take
-from stackpitch.gateway.taking import taken
+from stackpitch.gateway.permission import Act, ConnectionState, Reason, accept_denial, end_denial
 from stackpitch.interface import SECOND, Time
 from stackpitch.loop import Coro, Lost, Scope, Stream, World
 from stackpitch.wire import http
@@ -21,7 +21,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Resting:
+class IdleConnection:
     """A connection without a request. `kept`: it had one before. `first`: what had come when it was to end."""
 
     kept: bool
@@ -29,50 +29,50 @@
     first: bytes = b""
 
 
-class Endings:
+class ConnectionCloser:
     """A door's part that ends connections. Tables: none beyond the connections that are open."""
 
-    told_why = (
+    max_over_limit = (
         16  # connections beyond the bound: those that are told why, others being closed without a word, and
     )
     # those half-closed for others to have their place
 
     def __init__(self, world: World, host: Host, metrics: "Metrics", max_body: int, stall: Time) -> None:
         self.world, self.host, self.metrics, self.max_body, self.stall = world, host, metrics, max_body, stall
-        self.turned = 0  # connections that are being turned away
-        self.waiting: dict[
-            Stream, Resting
+        self.rejecting = 0  # connections that are being turned away
+        self.idle_connections: dict[
+            Stream, IdleConnection
         ] = {}  # connections without a request; emptied by one, or by ending
         self.lingering: dict[Stream, None] = {}  # half-closed or about to be; emptied by their close
         self.stopping = False
 
-    def _make_room(self) -> bool:
+    def _evict_idle(self) -> bool:
         """Ends the connection that has been without a request for the longest time; False if all have one."""
-        return any(self._end(stream) for stream in list(self.waiting))
+        return any(self._end_idle(stream) for stream in list(self.idle_connections))
 
-    def _trim(self) -> None:
+    def _trim_lingering(self) -> None:
         """Those that linger have given up their place, but hold a descriptor: as many as are kept back for it may."""
-        while len(self.lingering) > max(0, self.told_why - self.turned):
+        while len(self.lingering) > max(0, self.max_over_limit - self.rejecting):
             stream = next(iter(self.lingering))
             del self.lingering[stream]
             stream.close()
 
-    def _end(self, stream: Stream) -> bool:
+    def _end_idle(self, stream: Stream) -> bool:
         """Half-closes a resting connection; False if a request had come on it, which is served then. What comes from now
         on is read, so that the close is no reset, and goes nowhere."""
-        rest = self.waiting.pop(stream)
+        rest = self.idle_connections.pop(stream)
         try:
             rest.first = stream.recv_now(look=True) or b""
         except Lost:
             pass
-        reason = may_end(Connection(unread=bool(rest.first)))
+        reason = end_denial(ConnectionState(unread=bool(rest.first)))
         if reason is None:
             self.lingering[stream] = None
             if not rest.kept:
-                self._answer_unasked(stream)
+                self._answer_no_request(stream)
             stream.finish()
         else:
-            self.host.refusals.note(Act.END, reason)
+            self.host.denials.note(Act.END, reason)
         rest.scope.cancel()
         return reason is None
 
@@ -80,21 +80,21 @@
         """On stopping: connections with no request end, and answers whose head is still to come say that they are their
         connection's last. New connections may have a request on its way, and end once it would not be taken."""
         self.stopping = True
-        for ask in self.host.asks.values():
-            ask.closing = True
-        takes = self._untaken() is None
-        for stream in [one for one, rest in self.waiting.items() if rest.kept or not takes]:
-            self._end(stream)
+        for ask in self.host.requests.values():
+            ask.close_after = True
+        takes = self._accept_denial() is None
+        for stream in [one for one, rest in self.idle_connections.items() if rest.kept or not takes]:
+            self._end_idle(stream)
 
-    def _untaken(self) -> Reason | None:
+    def _accept_denial(self) -> Reason | None:
         """Why a request that is complete now may not be taken."""
-        return may_take(self.world.now(), self._takes_until())
+        return accept_denial(self.world.now(), self._accepts_until())
 
-    def _takes_until(self) -> Time | None:
+    def _accepts_until(self) -> Time | None:
         """When the last request may be taken; None while the gateway doesn't stop."""
         return 0 if self.stopping else None
 
-    def _answer_unasked(self, stream: Stream) -> None:
+    def _answer_no_request(self, stream: Stream) -> None:
         """On a new connection that ends before its request came. Guards against a request that crosses the end: it is read
         and dropped, and its client would be left without an answer; on a kept connection it is sent anew."""
         body = error_body("no request came in time; try again", "no_request", "server_error")
@@ -104,16 +104,16 @@
         except Lost:
             pass  # it has gone
 
-    def _turn_away(self, stream: Stream) -> Coro[None]:
+    def _reject_connection(self, stream: Stream) -> Coro[None]:
         try:
-            yield from self._error(
+            yield from self._send_error(
                 stream, 503, "overfull", "no connection is free here; try again", again=True
             )
         finally:
-            self.turned -= 1
+            self.rejecting -= 1
             stream.close()
 
-    def _error(
+    def _send_error(
         self, stream: Stream, status: int, code: str, text: str, again: bool, retry_after: Time = 0
     ) -> Coro[None]:
         """Answers what is not taken, then closes so that the answer is not lost to a reset."""
@@ -123,13 +123,13 @@
             headers.append(("retry-after", f"{retry_after / SECOND:.3f}"))
         try:
             stream.write(http.response(status, error_body(text, code, kind), headers))
-            yield from self._farewell(stream)
+            yield from self._linger(stream)
         except Lost:
             pass  # it did not wait for the answer
         finally:
             stream.close()
 
-    def _farewell(self, stream: Stream) -> Coro[None]:
+    def _linger(self, stream: Stream) -> Coro[None]:
         """Half-closes behind what is written, then reads until the client ends its side. A close with bytes unread, or bytes
         that come after it, make a reset, which destroys what the client's system has not taken yet: as long as that goes
         on taking, or for `stall`, the close waits."""
@@ -146,12 +146,12 @@
             if not scope.expired or not pending or not rounds:
                 return
 
-    def _taken(self, stream: Stream, most: Time | None = None) -> Coro[bool]:
+    def _drain_answer(self, stream: Stream, most: Time | None = None) -> Coro[bool]:
         """Whether the client took its answer. One that asks and never reads, or reads a byte now and then, would keep its
         place for good. `most`: that it may take altogether, if that is longer than `stall`."""
-        return (yield from taken(self.world, stream, 0, self.stall, most or self.stall))
+        return (yield from drain_client(self.world, stream, 0, self.stall, most or self.stall))
 
-    def _flooded(self, stream: Stream) -> Coro[None]:
-        yield from self._error(
+    def _refuse_pipelining(self, stream: Stream) -> Coro[None]:
+        yield from self._send_error(
             stream, 400, "pipelining_refused", "ask again once the answer is whole", again=False
         )
--- a/stackpitch/gateway/connections.py
+++ b/stackpitch/gateway/connections.py
@@ -5,7 +5,7 @@
 from stackpitch.exchange import answered
 from stackpitch.gateway.bounds import Bounds
 from stackpitch.gateway.outcomes import Phase
-from stackpitch.gateway.pool import Budget, NoneFree, Pool
+from stackpitch.gateway.pool import Budget, Pool, PoolExhausted
 from stackpitch.gateway.roster import Roster
 from stackpitch.interface import Server, Time
 from stackpitch.loop import ConnectFailed, Coro, Lost, Stream, World
@@ -15,7 +15,7 @@
     from stackpitch.gateway.logs import Log
 
 
-class Connections:
+class EngineConnections:
     """One pool for each server. `name`: this gateway's, said in each call."""
 
     def __init__(
@@ -30,7 +30,7 @@
             budget,
         )
         self.pools: dict[Server, Pool] = {}  # emptied when a server is gone and its last leg is back
-        self.calls = 0  # small calls under way
+        self.pending_calls = 0  # small calls under way
 
     def pool(self, server: Server) -> Pool:
         pool = self.pools.get(server)
@@ -42,15 +42,15 @@
                 bounds.pool,
                 bounds.connect,
                 bounds.idle,
-                bounds.rest,
+                bounds.settle,
                 self.budget,
             )
         return pool
 
-    def take_bounds(self, bounds: Bounds) -> None:
+    def apply_bounds(self, bounds: Bounds) -> None:
         self.bounds = bounds
         for pool in self.pools.values():
-            pool.take_bounds(bounds.pool, bounds.connect, bounds.idle, bounds.rest)
+            pool.apply_bounds(bounds.pool, bounds.connect, bounds.idle, bounds.settle)
 
     def close(self, server: Server) -> None:
         """The server is gone, or at another address."""
@@ -68,8 +68,8 @@
             return None
         return reader if last or (reader.keep_alive and not reader.extra) else None
 
-    def counted(self, call: Coro[None]) -> Coro[None]:
-        self.calls += 1
+    def tracked(self, call: Coro[None]) -> Coro[None]:
+        self.pending_calls += 1
         try:
             yield from call
         except (Lost, ConnectFailed) as wrong:
@@ -79,7 +79,7 @@
         ) as wrong:  # guards the gateway against an answer that nobody thought of: it costs its call
             self.log.exception("call_raised", why=str(wrong))
         finally:
-            self.calls -= 1
+            self.pending_calls -= 1
 
     def call(
         self, server: Server, method: str, target: str, body: bytes, limit: Time | None = None
@@ -91,15 +91,15 @@
         stream = None
         try:
             with self.world.limit(self.bounds.call if limit is None else limit):
-                stream = yield from pool.take(phase, call=True)
+                stream = yield from pool.acquire(phase, call=True)
                 reader = yield from self.exchange(stream, method, target, server.name, body)
                 if reader is not None:
-                    pool.give(stream)
+                    pool.release(stream)
                     stream = None
                 return reader
-        except (Lost, ConnectFailed, NoneFree, http.BadMessage):
+        except (Lost, ConnectFailed, PoolExhausted, http.BadMessage):
             return None
         finally:
             if stream is not None:
-                pool.drop(stream)
+                pool.discard(stream)
         return None
--- a/stackpitch/gateway/duties.py
+++ b/stackpitch/gateway/duties.py
@@ -5,7 +5,7 @@
 
 from stackpitch.duties.carrier import Duties, Figures
 from stackpitch.gateway.admin import Admin, Streamer
-from stackpitch.gateway.door import Door
+from stackpitch.gateway.client_listener import ClientListener
 from stackpitch.gateway.host import Host
 from stackpitch.gateway.logs import Log
 from stackpitch.loop import Coro, Stream, World
@@ -35,7 +35,9 @@
     )
 
 
-def duties(world: World, settings: Settings, log: Log, host: Host, door: Door, admin: Admin) -> Duties:
+def duties(
+    world: World, settings: Settings, log: Log, host: Host, door: ClientListener, admin: Admin
+) -> Duties:
     """The duties, with what the door and the admin port give them and are given by them."""
     made = Duties(world, log, figures(settings))
     admin.takers["/duty"], admin.max_body = made.take, made.LARGEST
@@ -53,13 +55,13 @@
 
 
 def _vocabulary(
-    world: World, settings: Settings, log: Log, host: Host, made: Duties, door: Door, admin: Admin
+    world: World, settings: Settings, log: Log, host: Host, made: Duties, door: ClientListener, admin: Admin
 ) -> Callable[[str], bool]:
     """Gives what tells a release whether servers may run on a vocabulary."""
     from stackpitch.duties.vocabulary.judging import Files, InChild, InSteps
     from stackpitch.duties.vocabulary.work import VocabularyWork
     from stackpitch.gateway import speaking
-    from stackpitch.gateway.tongues import Tongues
+    from stackpitch.gateway.vocabulary_filter import VocabularyFilter
 
     one = settings.duties.vocabulary
     assert one is not None
@@ -75,8 +77,8 @@
         one.most_share,
     )
     made.add(work)
-    door.speaking = speaking.Speaking(work, host.roster)
-    host.narrow(Tongues(host.roster, host.asks).may)
+    door.token_translator = speaking.Speaking(work, host.roster)
+    host.set_extra_rule(VocabularyFilter(host.roster, host.requests).allows)
     admin.routes |= speaking.routes(work, admin.routes["POST", "/fleet/confirm"])
     return work.admits
 
@@ -100,7 +102,7 @@
         (log.error if "remedy" in fields else log.info)(word, **fields)
 
     def revenue() -> float:
-        return sum(ask.gen.product.revenue for ask in host.asks.values())
+        return sum(ask.gen.product.revenue for ask in host.requests.values())
 
     def given(request: http.RequestReader, stream: Stream) -> Coro[bool]:
         return (yield from serving.answer(world, work.receiver, request, stream))
--- a/stackpitch/gateway/facts.py
+++ b/stackpitch/gateway/facts.py
@@ -40,7 +40,7 @@
     request_id: str
 
 
-class Reading:
+class RequestParser:
     """Reads requests by the deployment's products and customers."""
 
     def __init__(
@@ -54,7 +54,7 @@
         self.products, self.models, self.keys = products, models, keys
         self.bytes_per_tok, self.default_limit = bytes_per_tok, default_limit
 
-    def read(self, target: str, headers: Mapping[str, str], body: bytes, unnamed: str) -> Facts:
+    def parse(self, target: str, headers: Mapping[str, str], body: bytes, unnamed: str) -> Facts:
         """Raises BadRequest. `unnamed` is the request's id where the client gives none."""
         try:
             fields = decode(body, type=dict[str, msgspec.Raw])
--- a/stackpitch/gateway/host/__init__.py
+++ b/stackpitch/gateway/host/__init__.py
@@ -3,8 +3,8 @@
 Knows no protocol: what differs between them is behind `front`, and legs see it as their `gateway.carrier`.
 """
 
-from stackpitch.gateway.host.asked import Host
-from stackpitch.gateway.host.front import Front
-from stackpitch.gateway.host.words import PEER_WORD, Peers
+from stackpitch.gateway.host.backend import Backend
+from stackpitch.gateway.host.commands import Host
+from stackpitch.gateway.host.gossip import MAX_GOSSIP_BYTES, GossipSettings
 
-__all__ = ["PEER_WORD", "Front", "Host", "Peers"]
+__all__ = ["MAX_GOSSIP_BYTES", "Backend", "GossipSettings", "Host"]
--- a/stackpitch/gateway/host/asked.py
+++ b/stackpitch/gateway/host/commands.py
@@ -4,11 +4,11 @@
 from typing import TYPE_CHECKING, Any
 
 from stackpitch.gateway.bounds import Bounds
-from stackpitch.gateway.host.front import Front
-from stackpitch.gateway.host.told import Told
-from stackpitch.gateway.host.words import NOBODY, Peers, Words
-from stackpitch.gateway.outcomes import End, Phase
-from stackpitch.gateway.permission import Act, Now, may_cancel
+from stackpitch.gateway.host.backend import Backend
+from stackpitch.gateway.host.events import EventDispatcher
+from stackpitch.gateway.host.gossip import NO_PEERS, GossipChannel, GossipSettings
+from stackpitch.gateway.outcomes import LegEnd, Phase
+from stackpitch.gateway.permission import Act, AttemptState, cancel_denial
 from stackpitch.gateway.pool import Budget
 from stackpitch.gateway.roster import Roster
 from stackpitch.gateway.trace import Step
@@ -21,8 +21,8 @@
     from stackpitch.gateway.metrics import Metrics
 
 
-class Host(Told):
-    """`interface.Gateway` in full, and the `carrier.Carrier` of its front's legs."""
+class Host(EventDispatcher):
+    """`interface.Gateway` in full, and the `leg_host.LegHost` of its front's legs."""
 
     def __init__(
         self,
@@ -33,16 +33,16 @@
         name: str,
         roster: Roster,
         bounds: Bounds,
-        front: Front,
+        front: Backend,
         seed: int,
         preferences: Preferences,
         arguments: Mapping[str, Any],
-        peers: Peers = NOBODY,
+        peers: GossipSettings = NO_PEERS,
         budget: Budget | None = None,
     ) -> None:
         super().__init__(world, group, log, metrics, name, roster, bounds, front, budget)
         front.host = self
-        self.words = Words(
+        self.gossip = GossipChannel(
             world,
             group,
             metrics,
@@ -50,18 +50,18 @@
             peers,
             lambda peer, octets: self._tell(None, lambda now: self.brain.heard(now, peer, octets)),
         )
-        self.tell, self.heard = self.words.tell, self.words.heard
-        self.preferences_also: Callable[[Generation, Server], bool] | None = None
-        self.list_wanted: Callable[[], None] | None = None  # the module asks to hear the list
+        self.tell, self.receive_gossip = self.gossip.send, self.gossip.receive
+        self.extra_rule: Callable[[Generation, Server], bool] | None = None
+        self.on_subscribe: Callable[[], None] | None = None  # the module asks to hear the list
         self.brain = RuledBrain(self, seed, preferences, **arguments)  # type: ignore[abstract]
 
-    def narrow(self, may: Callable[[Generation, Server], bool]) -> None:
+    def set_extra_rule(self, may: Callable[[Generation, Server], bool]) -> None:
         """Beside operators' rules: binds every leg, whatever rules are taken over later."""
-        self.preferences_also = may
-        self.prefer(self.brain.preferences)
+        self.extra_rule = may
+        self.set_preferences(self.brain.preferences)
 
-    def prefer(self, preferences: Preferences) -> None:
-        preferences.also = self.preferences_also
+    def set_preferences(self, preferences: Preferences) -> None:
+        preferences.also = self.extra_rule
         self.brain.prefer(preferences)
 
     def replace_brain(self, seed: int, preferences: Preferences, arguments: Mapping[str, Any]) -> RuledBrain:
@@ -69,7 +69,7 @@
 
         `preferences`: an object of its own, as each module keeps in it what it was told.
         """
-        preferences.also = self.preferences_also
+        preferences.also = self.extra_rule
         before, brain = self.brain, RuledBrain(self, seed, preferences, **arguments)  # type: ignore[abstract]
         self.keep_arrival_settings()
         self.brain = brain
@@ -77,37 +77,39 @@
         return before
 
     def send(self, gen: Generation, server: Server, limit: Time) -> Leg:
-        ask = self.asks[gen]
+        ask = self.requests[gen]
         leg = Leg(gen, len(gen.legs), server, self.world.now())
         gen.legs.append(leg)
         ask.unsent.add(leg)
-        self.note(ask, Step.SEND, server.name)
-        ask.tasks[leg] = self.group.spawn(self.front.leg(ask, leg, limit), f"leg {gen.name}#{leg.number}")
+        self.trace_step(ask, Step.SEND, server.name)
+        ask.tasks[leg] = self.group.spawn(
+            self.backend.run_leg(ask, leg, limit), f"leg {gen.name}#{leg.number}"
+        )
         return leg
 
     def hold(self, gen: Generation, server: Server) -> None:
-        ask, brain = self.asks[gen], self.brain_of(gen)
+        ask, brain = self.requests[gen], self.brain_for(gen)
 
         def call() -> Coro[None]:
-            granted = yield from self.front.hold(ask, gen.legs[-1], server)
+            granted = yield from self.backend.reserve(ask, gen.legs[-1], server)
             self._tell(ask, lambda now: brain.held(now, gen, server, granted))
 
-        self.group.spawn(self.counted(call()), f"hold {gen.name}")
+        self.group.spawn(self.tracked(call()), f"hold {gen.name}")
 
     def release(self, gen: Generation, why: ReleaseReason) -> None:
-        ask = self.asks.get(gen)
+        ask = self.requests.get(gen)
         if ask is None:
             return
-        self.note(ask, Step.LET_GO, why)
+        self.trace_step(ask, Step.LET_GO, why)
         self.metrics.releases_asked.labels(why).inc()
         if gen.out():
-            self.front.release_unused(ask)
+            self.backend.release_unused(ask)
         else:
-            self.front.release(ask)
+            self.backend.release(ask)
 
     def throttle(self, gen: Generation, retry_after: Time) -> None:
         gen.over = True
-        ask = self.asks[gen]
+        ask = self.requests[gen]
         ask.refuse(
             429, "throttled", "too much to do; another try does no harm", again=True, retry_after=retry_after
         )
@@ -115,19 +117,19 @@
 
     def terminate(self, gen: Generation) -> None:
         gen.over = True
-        ask = self.asks[gen]
+        ask = self.requests[gen]
         if ask.begun:
-            ask.break_off("terminated", "given up; it may have run")
+            ask.fail_stream("terminated", "given up; it may have run")
         else:
             ask.refuse(502, "terminated", "given up; it may have run", again=False)
         self._settle(ask)
 
     def cancel(self, leg: Leg) -> None:
-        ask = self.asks.get(leg.gen)
+        ask = self.requests.get(leg.gen)
         if ask is None or (task := ask.tasks.get(leg)) is None:
             return
-        if (reason := may_cancel(leg, Now(self.world.now(), serving=ask.serving))) is not None:
-            self.forbidden(Act.CANCEL, reason, leg)
+        if (reason := cancel_denial(leg, AttemptState(self.world.now(), serving=ask.serving))) is not None:
+            self.action_denied(Act.CANCEL, reason, leg)
         else:
             task.cancel()
 
@@ -135,22 +137,22 @@
         brain = self.brain  # none but the one in force probes
 
         def call() -> Coro[None]:
-            well, report = yield from self.front.probe(server)
+            well, report = yield from self.backend.probe(server)
             self.doubts.server = server.name
             self._tell(
                 None,
                 lambda now: brain.probed(
-                    now, server, well, self._report(End("streamed", Phase.HEAD, report=report))
+                    now, server, well, self._report(LegEnd("streamed", Phase.HEAD, report=report))
                 ),
             )
 
-        self.group.spawn(self.counted(call()), f"probe {server.name}")
+        self.group.spawn(self.tracked(call()), f"probe {server.name}")
 
     def move(self, gen: Generation) -> None:
-        ask = self.asks[gen]
+        ask = self.requests[gen]
         if ask.serving is not None and not gen.over:
             gen.over = True
-            ask.break_off("moved", "the stream goes on elsewhere: ask again")
+            ask.fail_stream("moved", "the stream goes on elsewhere: ask again")
             if (task := ask.tasks.get(ask.serving)) is not None:
                 task.cancel()
 
@@ -158,8 +160,8 @@
         self.world.at(self.world.now() + delay, lambda: self._tell(None, call))
 
     def subscribe(self) -> None:
-        if self.list_wanted is not None:
-            self.world.at(self.world.now(), self.list_wanted)
+        if self.on_subscribe is not None:
+            self.world.at(self.world.now(), self.on_subscribe)
 
     def log(self, text: str) -> None:
         mode, _, rest = text.partition(" ")
--- a/stackpitch/gateway/host/told.py
+++ b/stackpitch/gateway/host/events.py
@@ -8,13 +8,13 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from stackpitch.gateway.ask import Ask
 from stackpitch.gateway.bounds import Bounds
-from stackpitch.gateway.connections import Connections
+from stackpitch.gateway.client_request import ClientRequest
+from stackpitch.gateway.connections import EngineConnections
 from stackpitch.gateway.counters import Counters
-from stackpitch.gateway.host.front import Front
-from stackpitch.gateway.outcomes import End
-from stackpitch.gateway.permission import Act, Now, Reason, Refusals, may_start
+from stackpitch.gateway.host.backend import Backend
+from stackpitch.gateway.outcomes import LegEnd
+from stackpitch.gateway.permission import Act, AttemptState, Denials, Reason, start_denial
 from stackpitch.gateway.pool import Budget, Pool
 from stackpitch.gateway.roster import Roster
 from stackpitch.gateway.trace import Step, Telling, lines
@@ -37,7 +37,7 @@
     bounds: Bounds
 
 
-class Told:
+class EventDispatcher:
     """The side of the host towards door, legs and lists. All tables are bounded by what is under way and by the roster."""
 
     brain: RuledBrain
@@ -51,50 +51,52 @@
         name: str,
         roster: Roster,
         bounds: Bounds,
-        front: Front,
+        front: Backend,
         budget: Budget | None = None,
     ) -> None:
         self.world, self.group, self.logger, self.metrics, self.name = world, group, log, metrics, name
-        self.roster, self.bounds, self.front, self.budget = roster, bounds, front, budget
-        self.connections = Connections(world, log, name, roster, bounds, budget)
+        self.roster, self.bounds, self.backend, self.budget = roster, bounds, front, budget
+        self.connections = EngineConnections(world, log, name, roster, bounds, budget)
         self.pool, self.call = self.connections.pool, self.connections.call
-        self.exchange, self.counted = self.connections.exchange, self.connections.counted
-        self.asks: dict[Generation, Ask] = {}  # emptied once a generation is over and its last leg is back
-        self.earlier: dict[
+        self.exchange, self.tracked = self.connections.exchange, self.connections.tracked
+        self.requests: dict[
+            Generation, ClientRequest
+        ] = {}  # emptied once a generation is over and its last leg is back
+        self.earlier_settings: dict[
             Generation, ArrivalSettings
         ] = {}  # of those from before a reload; emptied as `asks`
-        self.doubts, self.counters, self.refusals = Doubts(), Counters(), Refusals()
-        self.telling = Telling()
-        self.relayed = 0
-        self.emptied: Callable[[], None] | None = None
+        self.doubts, self.counters, self.denials = Doubts(), Counters(), Denials()
+        self.trace_limiter = Telling()
+        self.relayed_bytes = 0
+        self.on_empty: Callable[[], None] | None = None
 
     @property
     def pools(self) -> Mapping[Server, Pool]:
         return self.connections.pools
 
     @property
-    def calls(self) -> int:
+    def pending_calls(self) -> int:
         """Small calls under way."""
-        return self.connections.calls
+        return self.connections.pending_calls
 
     def arrival_settings(self, gen: Generation) -> ArrivalSettings:
-        return self.earlier.get(gen) or ArrivalSettings(self.brain, self.bounds)
+        return self.earlier_settings.get(gen) or ArrivalSettings(self.brain, self.bounds)
 
-    def brain_of(self, gen: Generation) -> RuledBrain:
-        return self.earlier[gen].brain if gen in self.earlier else self.brain
+    def brain_for(self, gen: Generation) -> RuledBrain:
+        return self.earlier_settings[gen].brain if gen in self.earlier_settings else self.brain
 
     def brains(self) -> list[RuledBrain]:
         """The module in force, then earlier ones for which something is under way."""
-        return list(dict.fromkeys([self.brain, *(one.brain for one in self.earlier.values())]))
+        return list(dict.fromkeys([self.brain, *(one.brain for one in self.earlier_settings.values())]))
 
     def keep_arrival_settings(self) -> None:
         """What is under way keeps its present module and bounds, whatever comes into force next."""
-        for gen in self.asks:
-            self.earlier.setdefault(gen, ArrivalSettings(self.brain, self.bounds))
+        for gen in self.requests:
+            self.earlier_settings.setdefault(gen, ArrivalSettings(self.brain, self.bounds))
 
-    def take_bounds(self, bounds: Bounds) -> None:
+    def apply_bounds(self, bounds: Bounds) -> None:
         self.bounds = bounds
-        self.connections.take_bounds(bounds)
+        self.connections.apply_bounds(bounds)
 
     def terminate(self, gen: Generation) -> None:
         raise NotImplementedError
@@ -102,7 +104,7 @@
     def begin(self) -> None:
         self.brain.begin(self.world.now())
 
-    def take(self, version: int, entries: Sequence[Entry], current: bool = True) -> None:
+    def apply_roster(self, version: int, entries: Sequence[Entry], current: bool = True) -> None:
         """The complete list from now on. A server that is left out and has legs out stays until they have ended.
         `current`: not one that may be old, as the one known at the start."""
         before = {
@@ -128,54 +130,54 @@
     def _tell_list(brain: RuledBrain, servers: list[Server], now: Time) -> None:
         brain.roster(now, servers, False)
 
-    def list_failed(self) -> None:
+    def roster_load_failed(self) -> None:
         """A list could not be used; the one in force stays."""
         self._tell(None, lambda now: self.brain.roster_failed(now))
 
     def _forget_servers(self) -> None:
-        busy = {leg.server for ask in self.asks.values() for leg in ask.gen.legs if leg.outcome is None}
+        busy = {leg.server for ask in self.requests.values() for leg in ask.gen.legs if leg.outcome is None}
         for server in [one for one in self.roster.addresses if one.state == "gone" and one not in busy]:
             self.connections.close(server)
             self.roster.forget(server)
 
     # What the door tells.
 
-    def arrived(self, ask: Ask) -> None:
+    def request_arrived(self, ask: ClientRequest) -> None:
         gen = ask.gen
-        self.asks[gen] = ask
-        self.note(ask, Step.ARRIVED)
-        self.metrics.held.set(len(self.asks))
-        ask.watch = self.world.at(gen.gives_up + self.bounds.watch, lambda: self._watched(ask))
+        self.requests[gen] = ask
+        self.trace_step(ask, Step.ARRIVED)
+        self.metrics.held.set(len(self.requests))
+        ask.watchdog = self.world.at(gen.gives_up + self.bounds.watchdog, lambda: self._watched(ask))
         brain = self.brain
         self._tell(ask, lambda now: brain.arrived(now, gen))
         if not gen.over and not gen.out() and not brain.keeps(gen):
             self.logger.error("module_kept_without_leg", generation=gen.name)
             self.terminate(gen)
 
-    def departed(self, ask: Ask) -> None:
+    def client_departed(self, ask: ClientRequest) -> None:
         """The client has left. A stream that nobody reads ends, and so do legs that have not been handed over whole, which
         would begin for nobody; other legs go on to their outcome. One that may only have ended its sending is owed an
         answer."""
         if ask.gen.over:
             return
-        if ask.sending_ended and not ask.streaming:
-            ask.answer_ended_sending()
-        self.note(ask, Step.CLIENT_LEFT)
+        if ask.fin_received and not ask.streaming:
+            ask.refuse_half_closed()
+        self.trace_step(ask, Step.CLIENT_LEFT)
         ask.gen.over = True
-        ask.leave()
+        ask.detach_client()
         for leg, task in list(ask.tasks.items()):
             if leg is ask.serving or leg in ask.unsent:
                 task.cancel()
-        brain = self.brain_of(ask.gen)
+        brain = self.brain_for(ask.gen)
         self._tell(ask, lambda now: brain.departed(now, ask.gen))
         self._settle(ask)
 
-    def _watched(self, ask: Ask) -> None:
+    def _watched(self, ask: ClientRequest) -> None:
         """A process that did not run finds an attempt's time-out and this watch due in one turn: the time-out goes first,
         so that the module, which may be able to promise more, has its say."""
-        ask.watch = self.world.at(self.world.now() + 1, lambda: self._overdue(ask))
+        ask.watchdog = self.world.at(self.world.now() + 1, lambda: self._overdue(ask))
 
-    def _overdue(self, ask: Ask) -> None:
+    def _overdue(self, ask: ClientRequest) -> None:
         """Guards rule 1 against the module or the loop being late."""
         if not ask.gen.over and not ask.begun:
             self.logger.error("answered_by_host", generation=ask.gen.name, legs=len(ask.gen.legs))
@@ -183,61 +185,61 @@
 
     def stop(self) -> None:
         """What is still held is answered at once: terminated, which promises nothing."""
-        for ask in list(self.asks.values()):
+        for ask in list(self.requests.values()):
             if not ask.gen.over:
                 ask.gen.over = True
                 if ask.begun:
-                    ask.break_off("stopping", "the gateway stops")
+                    ask.fail_stream("stopping", "the gateway stops")
                 else:
                     ask.refuse(503, "stopping", "the gateway stops", again=False)
             for task in list(ask.tasks.values()):
                 task.cancel()
-            self.front.release(ask)
+            self.backend.release(ask)
 
     # What the legs tell.
 
-    def forbidden(self, act: Act, reason: Reason, leg: Leg) -> None:
+    def action_denied(self, act: Act, reason: Reason, leg: Leg) -> None:
         """An act was not permitted. Where the module must not have asked for it, that is told with the request's id."""
-        if (ask := self.asks.get(leg.gen)) is not None:
-            self.note(ask, Step.FORBIDDEN, f"{act} {reason} {leg.server.name}")
-        if self.refusals.note(act, reason):
+        if (ask := self.requests.get(leg.gen)) is not None:
+            self.trace_step(ask, Step.FORBIDDEN, f"{act} {reason} {leg.server.name}")
+        if self.denials.note(act, reason):
             self.logger.error(
                 "invariant_broken", act=act, reason=reason, generation=leg.gen.name, server=leg.server.name
             )
 
-    def written(self, ask: Ask, leg: Leg) -> None:
+    def leg_written(self, ask: ClientRequest, leg: Leg) -> None:
         ask.unsent.discard(leg)
-        self.note(ask, Step.WRITTEN, leg.server.name)
+        self.trace_step(ask, Step.WRITTEN, leg.server.name)
 
-    def leg_started(self, ask: Ask, leg: Leg, fetched: bool) -> bool:
+    def leg_started(self, ask: ClientRequest, leg: Leg, fetched: bool) -> bool:
         """The first token is here; False if nobody wants it. `fetched`: the writer took the state that it was sent to."""
         task = ask.tasks.get(leg)
         cancelled = task is not None and task.struck() is not None  # in the very turn in which the token came
-        now = Now(self.world.now(), cancelled=cancelled, serving=ask.serving)
-        if (reason := may_start(leg, now)) is not None:
-            self.forbidden(Act.START, reason, leg)
+        now = AttemptState(self.world.now(), cancelled=cancelled, serving=ask.serving)
+        if (reason := start_denial(leg, now)) is not None:
+            self.action_denied(Act.START, reason, leg)
             return False
         leg.streaming, ask.serving = True, leg
-        self.note(ask, Step.STARTED, leg.server.name)
+        self.trace_step(ask, Step.STARTED, leg.server.name)
         ask.begin(self.world.now())
-        self.front.started(ask, leg, fetched)
+        self.backend.stream_started(ask, leg, fetched)
         self.counters.started(self.world.now(), leg)
-        brain = self.brain_of(leg.gen)
+        brain = self.brain_for(leg.gen)
         self._tell(ask, lambda now: brain.started(now, leg))
         self.metrics.first_token.labels(ask.gen.product.name).observe(
             (self.world.now() - ask.gen.arrived) / 10_000
         )
         return True
 
-    def leg_ended(self, ask: Ask, leg: Leg, end: End) -> None:
+    def leg_ended(self, ask: ClientRequest, leg: Leg, end: LegEnd) -> None:
         gen = ask.gen
         leg.outcome = end.outcome
-        self.note(ask, Step.ENDED, f"{leg.server.name} {end.outcome} {end.why}")
+        self.trace_step(ask, Step.ENDED, f"{leg.server.name} {end.outcome} {end.why}")
         ask.tasks.pop(leg, None)
         ask.unsent.discard(leg)
         self.metrics.legs.labels(leg.server.role, end.outcome).inc()
         if end.outcome not in ("read", "streamed"):
-            ask.whys[leg.number] = end.why
+            ask.leg_errors[leg.number] = end.why
         if end.outcome == "error":
             self.logger.warning("bad_answer", server=leg.server.name, generation=gen.name, why=end.why)
         if leg is ask.serving and not gen.over:
@@ -245,11 +247,11 @@
             if end.outcome == "streamed":
                 ask.finish()
             else:
-                ask.break_off("stream_broken", f"the stream broke: {end.why or end.outcome}")
+                ask.fail_stream("stream_broken", f"the stream broke: {end.why or end.outcome}")
         self.doubts.server = leg.server.name
         kept = self.doubts.kept(end.kept, gen.prompt_tok)
         self.counters.leg_ended(self.world.now(), leg, kept)
-        brain = self.brain_of(gen)
+        brain = self.brain_for(gen)
         self._tell(ask, lambda now: brain.ended(now, leg, kept, end.no_state, self._report(end)))
         if (doubted := self.doubts.due(self.world.now())) is not None:
             self.logger.warning("implausible", **doubted)
@@ -260,12 +262,12 @@
         if leg.server.state == "gone":
             self._forget_servers()
 
-    def note(self, ask: Ask, step: Step, what: str = "") -> None:
+    def trace_step(self, ask: ClientRequest, step: Step, what: str = "") -> None:
         ask.steps.append((self.world.now(), step, what))
 
-    def _tell_steps(self, ask: Ask) -> None:
+    def _tell_steps(self, ask: ClientRequest) -> None:
         now = self.world.now()
-        if not self.telling.tells(now, ask.end):
+        if not self.trace_limiter.tells(now, ask.end):
             return
         ask.steps.append((now, Step.ANSWERED, f"{ask.end} {ask.gen.given_up or ''}"))
         self.logger.info(
@@ -273,21 +275,21 @@
             id=ask.gen.name,
             product=ask.gen.product.name,
             session=ask.gen.session,
-            left_out=self.telling.take_left_out(),
+            left_out=self.trace_limiter.take_left_out(),
             steps=lines(ask.gen, ask.steps),
         )
 
-    def _report(self, end: End) -> Report | None:
+    def _report(self, end: LegEnd) -> Report | None:
         if end.report is None:
             return None
         try:
-            return self.front.report(end.report)
+            return self.backend.parse_report(end.report)
         except ValueError as wrong:
             self.doubts.note("load_unread")
             self.logger.debug("bad_report", why=str(wrong))
             return None
 
-    def _tell(self, ask: Ask | None, call: Callable[[Time], None]) -> None:
+    def _tell(self, ask: ClientRequest | None, call: Callable[[Time], None]) -> None:
         try:
             call(self.world.now())
         except Exception as wrong:  # a fault in the module must not cost other generations anything
@@ -295,16 +297,16 @@
             if ask is not None and not ask.gen.over and not ask.gen.out():
                 self.terminate(ask.gen)
 
-    def _settle(self, ask: Ask) -> None:
+    def _settle(self, ask: ClientRequest) -> None:
         """Forgets a generation that is over with no leg out. Rule 5's last net: what still waits is let go."""
-        if ask.gen.over and not ask.gen.out() and self.asks.pop(ask.gen, None) is not None:
-            self.front.release(ask)
-            self.earlier.pop(ask.gen, None)
-            if ask.watch is not None:
-                ask.watch.cancel()
+        if ask.gen.over and not ask.gen.out() and self.requests.pop(ask.gen, None) is not None:
+            self.backend.release(ask)
+            self.earlier_settings.pop(ask.gen, None)
+            if ask.watchdog is not None:
+                ask.watchdog.cancel()
             self.metrics.generations.labels(ask.gen.product.name, ask.end).inc()
             self.counters.over(ask.gen, ask.end, ask.first_token)
-            self.metrics.held.set(len(self.asks))
+            self.metrics.held.set(len(self.requests))
             gen = ask.gen
             self._tell_steps(ask)
             self.logger.log(
@@ -317,9 +319,9 @@
                 prompt_tok=gen.prompt_tok,
                 first_ms=None if ask.first_token is None else (ask.first_token - gen.arrived) / 10,
                 legs=[
-                    f"{leg.server.name} {leg.outcome} {ask.whys.get(leg.number, '')}".strip()
+                    f"{leg.server.name} {leg.outcome} {ask.leg_errors.get(leg.number, '')}".strip()
                     for leg in gen.legs
                 ],
             )
-            if not self.asks and self.emptied is not None:
-                self.emptied()
+            if not self.requests and self.on_empty is not None:
+                self.on_empty()
--- a/stackpitch/gateway/host/words.py
+++ b/stackpitch/gateway/host/gossip.py
@@ -1,10 +1,10 @@
-"""Words between gateways, over their admin ports."""
+"""GossipChannel between gateways, over their admin ports."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from stackpitch.gateway.connections import Connections
+from stackpitch.gateway.connections import EngineConnections
 from stackpitch.interface import Time
 from stackpitch.loop import ConnectFailed, Coro, Group, Lost, World
 from stackpitch.wire import http
@@ -12,11 +12,11 @@
 if TYPE_CHECKING:
     from stackpitch.gateway.metrics import Metrics
 
-PEER_WORD = 256  # bytes, at most
+MAX_GOSSIP_BYTES = 256  # bytes, at most
 
 
 @dataclass(frozen=True, slots=True)
-class Peers:
+class GossipSettings:
     """The other gateways' admin ports by number, our own too; empty: none. `limit`: for a word, in ticks."""
 
     admin: Sequence[str] = ()
@@ -25,10 +25,10 @@
     max_words: int = 0
 
 
-NOBODY = Peers()
+NO_PEERS = GossipSettings()
 
 
-class Words:
+class GossipChannel:
     """`hears`: told what a peer said, by its number."""
 
     def __init__(
@@ -36,18 +36,22 @@
         world: World,
         group: Group,
         metrics: "Metrics",
-        connections: Connections,
-        peers: Peers,
+        connections: EngineConnections,
+        peers: GossipSettings,
         hears: Callable[[int, bytes], None],
     ) -> None:
         self.world, self.group, self.metrics, self.connections = world, group, metrics, connections
         self.peers, self.hears = peers, hears
         self.under_way = 0
 
-    def tell(self, peer: int, octets: bytes) -> None:
+    def send(self, peer: int, octets: bytes) -> None:
         """One word to another gateway. None is repeated; one that can't leave now is dropped and counted."""
         peers = self.peers
-        if len(octets) > PEER_WORD or not 0 <= peer < len(peers.admin) or self.under_way >= peers.max_words:
+        if (
+            len(octets) > MAX_GOSSIP_BYTES
+            or not 0 <= peer < len(peers.admin)
+            or self.under_way >= peers.max_words
+        ):
             self.metrics.words.labels("not-sent").inc()
             return
         from urllib.parse import urlencode  # not at the start: a gateway of the platform has no use for it
@@ -76,14 +80,14 @@
         self.under_way += 1
         self.group.spawn(call(), f"word to {peer}")
 
-    def heard(self, peer: str, word: str) -> bool:
+    def receive(self, peer: str, word: str) -> bool:
         """A word that came in. What is unknown, oversized or malformed is dropped and counted, and False."""
         try:
             number, octets = int(peer), bytes.fromhex(word)
         except ValueError:
             number, octets = -1, b""
         others = 0 <= number < len(self.peers.admin) and number != self.peers.number
-        if not others or not octets or len(octets) > PEER_WORD:
+        if not others or not octets or len(octets) > MAX_GOSSIP_BYTES:
             self.metrics.words.labels("dropped").inc()
             return False
         self.metrics.words.labels("heard").inc()
--- a/stackpitch/gateway/keeper/inforce.py
+++ b/stackpitch/gateway/keeper/inforce.py
@@ -90,7 +90,7 @@
             changed=changed.text(),
             why="; ".join(verdict.reasons),
         )
-        self.host.take(version, verdict.entries, current=kept)
+        self.host.apply_roster(version, verdict.entries, current=kept)
         if kept and told:
             entries = tuple(self.registrar.sources["file"].entries.values())
             self.history.keep(version, told, entries, verdict, changed.text())
@@ -105,7 +105,7 @@
 
     def unchanged(self, verdict: Verdict, version: int) -> None:
         """Nothing differs but perhaps the version."""
-        self.host.roster.starts.confirm()  # also where a list from before a restart was in force so far
+        self.host.roster.starts.confirm_current()  # also where a list from before a restart was in force so far
         self.last = verdict.word, ()
         self.version = self.host.roster.version = max(self.version, version)
 
--- a/stackpitch/gateway/keeper/keeper.py
+++ b/stackpitch/gateway/keeper/keeper.py
@@ -60,7 +60,7 @@
         self.seen: dict[str, str] = {}  # digests of the files that were checked last
         self.restart_wanted: tuple[str, ...] = ()  # settings that differ in the file and need a restart
         self.new_settings: Callable[[Settings], None] | None = None
-        host.list_wanted = self.ask
+        host.on_subscribe = self.ask
 
     # At start, before anything is served: in this process, at once.
 
@@ -172,7 +172,7 @@
         if bundle.problems:
             if not same or tuple(bundle.problems) != ours.bad:
                 ours.rejected(tuple(bundle.problems), bundle.version, bundle.digest)
-                self.host.list_failed()
+                self.host.roster_load_failed()
             return "\n".join(bundle.problems)
         if self.config is not None:
             self._take_settings(check(Settings, msgspec.json.decode(bundle.settings), self.config))
--- a/stackpitch/gateway/outcomes.py
+++ b/stackpitch/gateway/outcomes.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class End:
+class LegEnd:
     """How a leg ended."""
 
     outcome: Outcome
@@ -35,10 +35,10 @@
     why: str = ""
 
 
-Break = Literal["lost", "time-out", "garbled", "cancelled"]
+Failure = Literal["lost", "time-out", "garbled", "cancelled"]
 
 
-def broken(phase: Phase, how: Break) -> Outcome:
+def failure_outcome(phase: Phase, how: Failure) -> Outcome:
     """The outcome of a leg that ended without a whole answer."""
     if phase is Phase.QUEUED or (phase <= Phase.WRITING and how == "cancelled"):
         return "not-sent"  # cancelled here: it says nothing of the server
@@ -51,7 +51,7 @@
     return "error" if how == "garbled" else "reset"
 
 
-def answered(part: Part, status: int, code: str | None, whole: bool) -> tuple[Outcome, bool]:
+def answer_outcome(part: Part, status: int, code: str | None, whole: bool) -> tuple[Outcome, bool]:
     """Outcome, and whether there was no state to fetch. `code`: of a refusal; `whole`: a good body of its kind."""
     if code is not None:
         return "full", code == NO_STATE
--- a/stackpitch/gateway/pacing.py
+++ b/stackpitch/gateway/pacing.py
@@ -3,9 +3,9 @@
 
 from stackpitch.interface import Time
 
-LEAST_BUFFER = 1 << 14  # bytes; under this a stream would wait for its client at every other read
+MIN_BUFFER = 1 << 14  # bytes; under this a stream would wait for its client at every other read
 SLACK = 2  # what the system takes from here comes in lumps
-EVENTS_A_TOKEN, EVENTS_BESIDE = (
+EVENTS_PER_TOKEN, EXTRA_EVENTS = (
     4,
     64,
 )  # one event a token is usual; beside them usage, load, end and signs of life
@@ -20,12 +20,12 @@
 AGAIN_PART = 90  # percent of the time allowed
 
 
-def buffer(memory: int, clients: int, most: int) -> int:
+def client_buffer(memory: int, clients: int, most: int) -> int:
     """Bytes that may wait for each of so many clients, for all to fit in `memory`."""
-    return max(LEAST_BUFFER, min(most, memory // max(1, clients)))
+    return max(MIN_BUFFER, min(most, memory // max(1, clients)))
 
 
-def time_to_take(size: int, passed: int, events: int, gap: Time) -> Time | None:
+def drain_time_limit(size: int, passed: int, events: int, gap: Time) -> Time | None:
     """In which a client that has fallen behind has to take `size` bytes of what waits for it: twice that in which its
     product owes it as many tokens, one a `gap`, by the stream's own mean of bytes an event. It is asked of a client only while
     a whole buffer waits for it, or its answer is whole here; a stream with little to take, however slow, is never looked at.
@@ -33,12 +33,12 @@
     return SLACK * size * events * gap // passed if gap and passed else None
 
 
-def most_events(tokens: int) -> int | None:
+def max_events(tokens: int) -> int | None:
     """Of an answer that was to have so many tokens at most; None: it was not said."""
-    return EVENTS_A_TOKEN * tokens + EVENTS_BESIDE if tokens else None
+    return EVENTS_PER_TOKEN * tokens + EXTRA_EVENTS if tokens else None
 
 
-def release_again(allowed: Time) -> Time:
+def second_release_delay(allowed: Time) -> Time:
     """From a release of what a read may have left unseen to another one: the read may end well until its worker has seen
     that its connection was closed, and its state is held from then on. `allowed`: for which it may be held."""
     return allowed * AGAIN_PART // 100
--- a/stackpitch/gateway/permission.py
+++ b/stackpitch/gateway/permission.py
@@ -3,7 +3,7 @@
 
 Asked at the instant of acting, with the facts as they are then: what the decision module knew when it decided may be
 long past, as a connection may have been in the making meanwhile, or this process not have run. Callers don't repeat
-these conditions. What is forbidden is counted by act and reason (`Refusals`). Some reasons can't come up unless the
+these conditions. What is forbidden is counted by act and reason (`Denials`). Some reasons can't come up unless the
 module has erred (`INVARIANTS`): those are told as errors with the request's id.
 """
 
@@ -11,13 +11,13 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from stackpitch.gateway.repeats import latest
+from stackpitch.gateway.resend_window import resend_deadline
 from stackpitch.interface import MS, SECOND, Leg, Time
 
 # After SIGTERM, what arrives within this time may be taken. The protocol page excuses just these if SIGKILL, which comes
 # with the longest deadline after that, finds them unanswered. Whatever arrives later on an open connection and is still
 # under way then is lost, so it is refused.
-TAKE_WINDOW: Time = 7 * SECOND // 10
+ACCEPT_WINDOW: Time = 7 * SECOND // 10
 RETRY_ELSEWHERE: Time = (
     100 * MS
 )  # told to clients that are refused then: the front sends them to another gateway
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Now:
+class AttemptState:
     """What is known of an attempt at the instant of acting, beside what it says itself."""
 
     time: Time
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Connection:
+class ConnectionState:
     """What is known of a client's connection at the instant at which it would end."""
 
     unread: bool = False  # bytes have come that nobody has read
@@ -78,12 +78,12 @@
     client_left: bool = False
 
 
-def takes_until(told_to_stop: Time) -> Time:
+def accepts_until(told_to_stop: Time) -> Time:
     """`told_to_stop`: the earliest time at which the signal may have been sent."""
-    return told_to_stop + TAKE_WINDOW
+    return told_to_stop + ACCEPT_WINDOW
 
 
-def may_take(now: Time, until: Time | None) -> Reason | None:
+def accept_denial(now: Time, until: Time | None) -> Reason | None:
     """None: a request that is complete now may be taken. `until`: when the last may be; None: the gateway doesn't stop."""
     return Reason.STOPPING if until is not None and now >= until else None
 
@@ -93,7 +93,7 @@
     return min(RETRY_ELSEWHERE, most)
 
 
-def may_send(leg: Leg, now: Now) -> Reason | None:
+def send_denial(leg: Leg, now: AttemptState) -> Reason | None:
     """None: it may."""
     request = leg.gen
     if now.client_left:
@@ -111,13 +111,13 @@
         return Reason.ANOTHER_OUT
     if request.product.effect == "side-effecting" and any(one is not leg for one in request.ran()):
         return Reason.MAY_HAVE_RUN
-    until = latest(leg)
+    until = resend_deadline(leg)
     if until is not None and now.time >= until:
         return Reason.WINDOW
     return None
 
 
-def may_start(leg: Leg, now: Now) -> Reason | None:
+def start_denial(leg: Leg, now: AttemptState) -> Reason | None:
     """None: the client may get this attempt's stream."""
     if leg.gen.over:
         return Reason.ANSWERED
@@ -126,24 +126,24 @@
     return Reason.CANCELLED if now.cancelled else None
 
 
-def may_cancel(leg: Leg, now: Now) -> Reason | None:
+def cancel_denial(leg: Leg, now: AttemptState) -> Reason | None:
     """None: its task may be ended."""
     if leg is now.serving:
         return Reason.SERVES
     return Reason.ENDED if leg.outcome is not None else None
 
 
-def may_hold(leg: Leg) -> Reason | None:
+def hold_denial(leg: Leg) -> Reason | None:
     """None: a place may be asked for."""
     return Reason.ANSWERED if leg.gen.over else None
 
 
-def may_release(held: bool) -> Reason | None:
+def release_denial(held: bool) -> Reason | None:
     """None: workers may be told to release what they hold for a request. `held`: that may be something."""
     return None if held else Reason.NOTHING_HELD
 
 
-def may_end(connection: Connection) -> Reason | None:
+def end_denial(connection: ConnectionState) -> Reason | None:
     """None: this side may end it."""
     if connection.unread:
         return Reason.REQUEST_CAME
@@ -151,7 +151,7 @@
     return Reason.UNANSWERED if owed else None
 
 
-class Refusals:
+class Denials:
     """What was forbidden since it was last told. As many entries as there are acts and reasons."""
 
     def __init__(self) -> None:
--- a/stackpitch/gateway/intake.py
+++ b/stackpitch/gateway/request_receiving.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING
 
-from stackpitch.gateway.endings import Endings, Resting
+from stackpitch.gateway.connection_closing import ConnectionCloser, IdleConnection
 from stackpitch.gateway.host import Host
 from stackpitch.gateway.trace import Closing
 from stackpitch.interface import Time
@@ -13,7 +13,7 @@
     from stackpitch.gateway.metrics import Metrics
 
 
-class Intake(Endings):
+class RequestReceiver(ConnectionCloser):
     """A door's part that reads. `bodies`: bytes of bodies that are held now, over all connections."""
 
     def __init__(
@@ -36,27 +36,27 @@
         self.max_bodies, self.max_head = max_bodies, max_head
         self.head, self.body, self.idle = head, body, idle
         self.fresh = idle if fresh is None else fresh
-        self.bodies = 0
+        self.body_bytes = 0
 
-    def _why_without_request(self, stream: Stream) -> Closing:
+    def _reason_without_request(self, stream: Stream) -> Closing:
         if stream in self.lingering:
             return Closing.MADE_ROOM
         return Closing.CLIENT_ENDED if stream.eof else Closing.IDLE
 
-    def _first(self, stream: Stream, kept: bool) -> Coro[bytes]:
+    def _read_first(self, stream: Stream, kept: bool) -> Coro[bytes]:
         with self.world.limit(self.idle if kept else self.fresh) as scope:
-            rest = self.waiting[stream] = Resting(kept, scope)
+            rest = self.idle_connections[stream] = IdleConnection(kept, scope)
             try:
                 rest.first += yield from stream.recv()  # to what was seen as it was to end
             finally:
-                self.waiting.pop(stream, None)
+                self.idle_connections.pop(stream, None)
         if stream in self.lingering:
             return b""  # half-closed in the same turn: nothing can be answered any more
         if scope.expired and not scope.told and not rest.first:
             rest.first = stream.recv_now(look=True) or b""  # it may have come in the very moment
         return rest.first
 
-    def _rest(self, stream: Stream, reader: http.RequestReader, held: int) -> Coro[int]:
+    def _read_rest(self, stream: Stream, reader: http.RequestReader, held: int) -> Coro[int]:
         """Reads until the request is whole or the client has left; bytes of body that now count as held."""
         continued = False
         try:
@@ -74,15 +74,15 @@
                         if not data:
                             return held
                         reader.feed(data)
-                        self.bodies += reader.body_size - held
+                        self.body_bytes += reader.body_size - held
                         held = reader.body_size
-                        if self.bodies > self.max_bodies:
+                        if self.body_bytes > self.max_bodies:
                             raise http.BadMessage(503, "too much is held here; try again")
                 if scope.expired and not (reader.complete or (what == "head" and reader.head_done)):
                     raise http.BadMessage(408, f"{what} was not whole after {limit // 10} ms")
-                self.bodies += reader.body_size - held
+                self.body_bytes += reader.body_size - held
                 held = reader.body_size
         except BaseException:
-            self.bodies -= held
+            self.body_bytes -= held
             raise
         return held
--- a/stackpitch/gateway/repeats.py
+++ b/stackpitch/gateway/resend_window.py
@@ -9,7 +9,7 @@
 from stackpitch.interface import Leg, Time
 
 
-def latest(leg: Leg) -> Time | None:
+def resend_deadline(leg: Leg) -> Time | None:
     """The time by which a leg's last byte must have been handed over; None: any. Its other legs are asked, and the window is
     the one by which the module decides to send."""
     product = leg.gen.product
--- a/stackpitch/gateway/roster.py
+++ b/stackpitch/gateway/roster.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping, Sequence
 
-from stackpitch.gateway.starts import Starts
+from stackpitch.gateway.start_times import StartTimes
 from stackpitch.interface import Role, Server
 from stackpitch.loop import World
 from stackpitch.loop.world import Address
@@ -22,7 +22,7 @@
         self.addresses: dict[Server, Address] = {}
         self.told: dict[str, Entry] = {}  # the list in force
         self.vocabularies: dict[Server, str] = {}  # of those whose entry names one
-        self.starts = Starts(world)
+        self.starts = StartTimes(world)
 
     def apply(self, version: int, entries: Sequence[Entry], current: bool = True) -> list[Server]:
         """Takes a checked list as the complete one and gives the servers of which it says something new; those left out
@@ -35,9 +35,9 @@
             for name, one in told.items()
             if self.told.get(name) != one or name not in self.servers
         ]
-        self.starts.keep(told)
+        self.starts.retain(told)
         if current:
-            self.starts.confirm()
+            self.starts.confirm_current()
         self.told, self.version = told, version
         self.applied += 1
         return found
@@ -60,8 +60,8 @@
             if one.vocabulary:
                 self.vocabularies[server] = one.vocabulary
         server.state, server.weight = one.state, one.weight
-        start = self.starts.take(one.name, one.started_unix_ms)
-        server.started, server.told = (None, None) if start is None else (start.claimed, start.told)
+        start = self.starts.record(one.name, one.started_unix_ms)
+        server.started, server.told = (None, None) if start is None else (start.claimed, start.learned)
         self.addresses[server] = one.address
         return server
 
--- a/stackpitch/gateway/serve.py
+++ b/stackpitch/gateway/serve.py
@@ -10,10 +10,10 @@
 from stackpitch.gateway import logs
 from stackpitch.gateway.admin import Admin, Route
 from stackpitch.gateway.bounds import Bounds
-from stackpitch.gateway.door import Door
-from stackpitch.gateway.engines import Engines
-from stackpitch.gateway.facts import Reading
-from stackpitch.gateway.host import Host, Peers
+from stackpitch.gateway.client_listener import ClientListener
+from stackpitch.gateway.engines import EngineBackend
+from stackpitch.gateway.facts import RequestParser
+from stackpitch.gateway.host import GossipSettings, Host
 from stackpitch.gateway.keeper import Keeper
 from stackpitch.gateway.metrics import Metrics
 from stackpitch.gateway.roster import Roster
@@ -26,12 +26,12 @@
     from stackpitch.duties.carrier import Duties
 
 
-def reading(settings: Settings) -> Reading:
+def reading(settings: Settings) -> RequestParser:
     made = products(settings)
     models = {model: made[name] for name, one in settings.products.items() for model in one.models}
     known = customers(settings)
     keys = {key: known[name] for name, one in settings.customers.items() for key in one.keys}
-    return Reading(made, models, keys, settings.door.bytes_per_tok, settings.door.default_limit_tok)
+    return RequestParser(made, models, keys, settings.door.bytes_per_tok, settings.door.default_limit_tok)
 
 
 def bounds(settings: Settings) -> Bounds:
@@ -47,7 +47,7 @@
         max_answer=engines.max_answer,
         buffer=door.buffer,
         stall=ticks(door.stall_ms),
-        watch=ticks(door.answer_margin_ms) // 2,
+        watchdog=ticks(door.answer_margin_ms) // 2,
         request_level=logs.LEVELS[settings.logs.requests],
     )
 
@@ -62,11 +62,11 @@
         settings.name,
         Roster(world, kinds(settings)),
         bounds(settings),
-        Engines((load.held_share, load.slots_share, load.queued)),
+        EngineBackend((load.held_share, load.slots_share, load.queued)),
         settings.seed,
         preferences(settings, world.wall_ms() * 10 - world.now()),
         module_arguments(settings),
-        Peers(
+        GossipSettings(
             settings.peers.admin,
             settings.module.number,
             ticks(settings.peers.word_ms),
@@ -100,7 +100,7 @@
 
     def body(group: Group) -> Coro[None]:
         carrier = host(world, group, settings, log, metrics)
-        door = Door(
+        door = ClientListener(
             world,
             carrier,
             log,
@@ -119,8 +119,8 @@
         keeper = Keeper(world, group, log, metrics, carrier, settings, config, given)
 
         def take(new: Settings) -> None:
-            door.reading = reading(new)
-            carrier.prefer(preferences(new, carrier.brain.preferences.epoch))
+            door.request_parser = reading(new)
+            carrier.set_preferences(preferences(new, carrier.brain.preferences.epoch))
 
         keeper.new_settings = take
         keeper.begin()
@@ -144,21 +144,21 @@
             ready(listener.address[1], admin_listener.address[1])
         while (number := (yield from caught())) == signal.SIGHUP:
             group.spawn(_told(keeper), "reload")
-        log.info("stopping", signal=number, held=len(carrier.asks))
+        log.info("stopping", signal=number, held=len(carrier.requests))
         listener.finish()
         door.close_idle()
         if duties is not None:
             yield from duties.leave()  # bounded by the limit of one call between gateways
         task = world.current
-        carrier.emptied = task.wake
+        carrier.on_empty = task.wake
         with world.limit(ticks(settings.stop.finish_ms)):
-            while door.accepting or carrier.asks or carrier.calls:
+            while door.accepting or carrier.requests or carrier.pending_calls:
                 yield from world.sleep(50)
-        carrier.emptied = None
-        left = len(carrier.asks)
+        carrier.on_empty = None
+        left = len(carrier.requests)
         carrier.stop()
         with world.limit(SECOND):
-            while carrier.asks or carrier.calls or door.connections:
+            while carrier.requests or carrier.pending_calls or door.connections:
                 yield from world.sleep(20)
         log.info("stopped", answered_at_the_end=left)
         group.cancel()
@@ -167,7 +167,7 @@
 
 
 def _duties(
-    world: World, settings: Settings, log: logs.Log, carrier: Host, door: Door, admin: Admin
+    world: World, settings: Settings, log: logs.Log, carrier: Host, door: ClientListener, admin: Admin
 ) -> "Duties | None":
     """None, and not even imported, unless settings name voters."""
     if not settings.duties.voters:
@@ -188,7 +188,7 @@
 
     def text(asked: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
         yield from ()
-        metrics.relayed.set(carrier.relayed)
+        metrics.relayed.set(carrier.relayed_bytes)
         metrics.connections.labels("engines").set(sum(one.open for one in carrier.pools.values()))
         return 200, metrics.text()
 
@@ -220,7 +220,7 @@
 
     def peer(asked: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
         yield from ()
-        return (200 if carrier.heard(asked.get("from", ""), asked.get("word", "")) else 400), b"{}"
+        return (200 if carrier.receive_gossip(asked.get("from", ""), asked.get("word", "")) else 400), b"{}"
 
     def confirm(asked: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
         yield from ()
--- a/stackpitch/gateway/tongues.py
+++ b/stackpitch/gateway/vocabulary_filter.py
@@ -6,22 +6,22 @@
 
 from collections.abc import Mapping
 
-from stackpitch.gateway.ask import Ask, OpenAsk
+from stackpitch.gateway.client_request import ClientRequest, OpenAIRequest
 from stackpitch.gateway.roster import Roster
 from stackpitch.interface import Generation, Server
 
 
-class Tongues:
+class VocabularyFilter:
     """`asks` are the host's. `written`: the vocabularies of the list's ready writers, anew with each list."""
 
-    def __init__(self, roster: Roster, asks: Mapping[Generation, Ask]) -> None:
-        self.roster, self.asks = roster, asks
-        self.written: tuple[int, frozenset[str]] = (-1, frozenset())
+    def __init__(self, roster: Roster, asks: Mapping[Generation, ClientRequest]) -> None:
+        self.roster, self.requests = roster, asks
+        self.writer_vocabularies: tuple[int, frozenset[str]] = (-1, frozenset())
 
-    def _written(self) -> frozenset[str]:
-        if self.written[0] != self.roster.applied:
+    def _listed_writers(self) -> frozenset[str]:
+        if self.writer_vocabularies[0] != self.roster.applied:
             known = self.roster.vocabularies
-            self.written = (
+            self.writer_vocabularies = (
                 self.roster.applied,
                 frozenset(
                     known.get(one, "")
@@ -29,15 +29,19 @@
                     if one.role != "reader" and one.state == "ready"
                 ),
             )
-        return self.written[1]
+        return self.writer_vocabularies[1]
 
-    def may(self, gen: Generation, server: Server) -> bool:
+    def allows(self, gen: Generation, server: Server) -> bool:
         known = self.roster.vocabularies
-        vocabulary, ask = known.get(server, ""), self.asks.get(gen)
-        if isinstance(ask, OpenAsk) and ask.spoken is not None and vocabulary not in ask.spoken:
+        vocabulary, ask = known.get(server, ""), self.requests.get(gen)
+        if (
+            isinstance(ask, OpenAIRequest)
+            and ask.token_fields is not None
+            and vocabulary not in ask.token_fields
+        ):
             return False
         if server.role == "reader":
-            return vocabulary in self._written()
+            return vocabulary in self._listed_writers()
         read = next(
             (
                 leg.server
--- a/stackpitch/platform/ask.py
+++ b/stackpitch/platform/ask.py
@@ -2,13 +2,13 @@
 
 from collections.abc import Sequence
 
-from stackpitch.gateway.ask import Ask
+from stackpitch.gateway.client_request import ClientRequest
 from stackpitch.interface import Generation, Leg, Time
 from stackpitch.loop import Stream
 from stackpitch.wire import http
 
 
-class PlatformAsk(Ask):
+class PlatformAsk(ClientRequest):
     """`headers`: the request's fields that go on to the servers with it."""
 
     def __init__(
@@ -29,43 +29,51 @@
         self.held = False  # a state or place may be held; a started stream lets go of it
         self.doubt = False  # a read may have ended well unseen: what it left is held, whatever started since
 
-    def _final(self, how: str) -> None:
-        super()._final(how)
+    def _mark_answered(self, how: str) -> None:
+        super()._mark_answered(how)
         self.headers, self.body = (), b""  # nothing more is sent
 
     def begin(self, now: Time) -> None:
         self.begun, self.first_token = True, now
-        self._put(
+        self._write(
             http.head(
-                200, [("content-type", "text/event-stream"), ("transfer-encoding", "chunked"), *self._last()]
+                200,
+                [
+                    ("content-type", "text/event-stream"),
+                    ("transfer-encoding", "chunked"),
+                    *self._close_header(),
+                ],
             )
         )
 
-    def pass_on(self, pieces: Sequence[bytes]) -> bool:
-        return self._put(b"".join(http.chunk(one) for one in pieces if one))
+    def forward(self, pieces: Sequence[bytes]) -> bool:
+        return self._write(b"".join(http.chunk(one) for one in pieces if one))
 
     def finish(self) -> None:
         if not self.answered:
-            self._put(http.LAST_CHUNK)
-            self._final("streamed")
+            self._write(http.LAST_CHUNK)
+            self._mark_answered("streamed")
 
     def refuse(self, status: int, code: str, message: str, again: bool, retry_after: Time = 0) -> None:
         """429 promises that another try does no harm; anything that can't promise it must not be 429 or 503."""
         if self.answered:
             return
         headers = [("retry-after", f"{retry_after / 10_000:.3f}")] if again and retry_after else []
-        self._put(
+        self._write(
             http.response(
-                429 if again else 502, b"%b\n" % code.encode(), [*headers, *self._last()], "text/plain"
+                429 if again else 502,
+                b"%b\n" % code.encode(),
+                [*headers, *self._close_header()],
+                "text/plain",
             )
         )
-        self._final(code)
+        self._mark_answered(code)
 
-    def break_off(self, code: str, message: str) -> None:
+    def fail_stream(self, code: str, message: str) -> None:
         """The connection ends without the last chunk: there is no event of our own. Half-closed, as a close would drop what
         has been passed on and not taken yet; the door does the rest."""
         if not self.answered:
-            self.cut = True
+            self.stream_cut = True
             if self.client is not None:
                 self.client.finish()
-            self._final(code)
+            self._mark_answered(code)
--- a/stackpitch/platform/discovery.py
+++ b/stackpitch/platform/discovery.py
@@ -81,7 +81,7 @@
         if told.complete and before and not self.entries:
             self.log.warning("empty_list", revision=told.revision, before=len(before), bad=len(told.bad))
         if self.entries != before:
-            self.host.take(told.revision, list(self.entries.values()), current)
+            self.host.apply_roster(told.revision, list(self.entries.values()), current)
 
     def _entry(self, one: platform.Member, before: dict[str, Entry]) -> Entry | None:
         try:
@@ -117,7 +117,7 @@
         listed = [*self.entries.values(), *self.unknown.values()]
         self.entries = {one.name: one for one in listed if self._known(one)}
         self.unknown = {one.name: one for one in listed if one.kind not in kinds}
-        self.host.take(self.host.roster.version, list(self.entries.values()), current=self.fresh)
+        self.host.apply_roster(self.host.roster.version, list(self.entries.values()), current=self.fresh)
 
     def run(self) -> Coro[None]:
         while True:
@@ -211,7 +211,7 @@
             self.said.clear()
             self.log.info("discovery_back", revision=told.revision)
         self.take(told, current=True)
-        self.host.roster.starts.confirm()  # also where it says what was known
+        self.host.roster.starts.confirm_current()  # also where it says what was known
         self.revision, self.fresh = told.revision, True
 
     def _follow(self, stream: Stream) -> Coro[None]:
--- a/stackpitch/platform/door.py
+++ b/stackpitch/platform/door.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from stackpitch.gateway.ask import Ask
-from stackpitch.gateway.door import Door
-from stackpitch.gateway.permission import takes_until
+from stackpitch.gateway.client_listener import ClientListener
+from stackpitch.gateway.client_request import ClientRequest
+from stackpitch.gateway.permission import accepts_until
 from stackpitch.interface import Customer, Generation, Product, Time
 from stackpitch.loop import Coro, Stream
 from stackpitch.platform.ask import PlatformAsk
@@ -13,13 +13,13 @@
 from stackpitch.wire.engine import GENERATE
 
 
-class PlatformDoor(Door):
+class PlatformDoor(ClientListener):
     """`products` and `customers` by name. `ready` tells the front that clients may come."""
 
-    told_why = 8  # each holds a descriptor of the reserve
+    max_over_limit = 8  # each holds a descriptor of the reserve
 
     def __init__(self, *given: Any, **bounds: Any) -> None:
-        """As `Door`."""
+        """As `ClientListener`."""
         super().__init__(*given, **bounds)
         self.products: Mapping[str, Product] = {}
         self.customers: Mapping[str, Customer] = {}
@@ -33,16 +33,16 @@
         """Other bounds. Resting connections beyond them end at once, others after their answer."""
         self.max_connections, self.max_bodies = max_connections, max_bodies
         for _ in range(self._beyond()):
-            if not self._make_room():
+            if not self._evict_idle():
                 break
-        self._trim()
+        self._trim_lingering()
         self.shrinking = self._beyond() > 0
 
-    def _takes_until(self) -> Time | None:
+    def _accepts_until(self) -> Time | None:
         """Asks anew for each request: one may be found in the very turn in which the signal is, before anybody has acted
         on that."""
         told = self.told_to_stop()
-        return None if told is None else takes_until(told)
+        return None if told is None else accepts_until(told)
 
     def _beyond(self) -> int:
         return self.connections - len(self.lingering) - self.max_connections
@@ -52,28 +52,28 @@
         self.shrinking = self.shrinking and self._beyond() > 0
         return not self.shrinking
 
-    def _answer(self, stream: Stream, reader: http.RequestReader, began: Time) -> Coro[bool]:
+    def _route(self, stream: Stream, reader: http.RequestReader, began: Time) -> Coro[bool]:
         if reader.path in GENERATE and reader.method == "POST":
-            return (yield from self._generation(stream, reader, began)) and self._may_stay()
+            return (yield from self._handle_generation(stream, reader, began)) and self._may_stay()
         if reader.path in (platform.READY, platform.WELL) and reader.method == "GET":
             well = reader.path == platform.WELL or (self.ready and not self.stopping)
-            stream.write(http.response(200 if well else 503, b"{}", self._last(reader)))
+            stream.write(http.response(200 if well else 503, b"{}", self._close_header(reader)))
             return (
-                (yield from self._taken(stream))
+                (yield from self._drain_answer(stream))
                 and reader.keep_alive
                 and not reader.extra
                 and not self.stopping
             )
         raise http.BadMessage(404, f"found {reader.method} {reader.path[:80]!r}")
 
-    def _ask(self, stream: Stream, reader: http.RequestReader, began: Time) -> Ask:
+    def _parse_request(self, stream: Stream, reader: http.RequestReader, began: Time) -> ClientRequest:
         facts = platform.facts(reader.headers)
         product = self.products.get(facts.product)
         if product is None:
             raise http.BadMessage(
                 400, f"req-kind: found {facts.product[:30]!r}; allowed: {', '.join(self.products)}"
             )
-        if any(gen.name == facts.name for gen in self.host.asks):
+        if any(gen.name == facts.name for gen in self.host.requests):
             raise http.BadMessage(409, "req-id: it is that of a request still open here")
         if not reader.body_size:
             raise http.BadMessage(400, "a body is wanted")  # servers turn it down, each of them
--- a/stackpitch/platform/leases.py
+++ b/stackpitch/platform/leases.py
@@ -1,10 +1,10 @@
 """The front towards model servers: legs, places held ahead, and letting go of whatever may be held."""
 
-from stackpitch.gateway.ask import Ask
 from stackpitch.gateway.bounds import Bounds
+from stackpitch.gateway.client_request import ClientRequest
 from stackpitch.gateway.host import Host
-from stackpitch.gateway.pacing import release_again
-from stackpitch.gateway.permission import Act, may_hold, may_release
+from stackpitch.gateway.pacing import second_release_delay
+from stackpitch.gateway.permission import Act, hold_denial, release_denial
 from stackpitch.interface import Leg, Report, Server, Time
 from stackpitch.loop import MS, Coro
 from stackpitch.platform.ask import PlatformAsk
@@ -14,23 +14,23 @@
 
 
 class Servers:
-    """`gateway.host.Front` for the platform. Any running server lets go of all that is held for a generation."""
+    """`gateway.host.Backend` for the platform. Any running server lets go of all that is held for a generation."""
 
     host: Host
 
-    def leg(self, ask: Ask, leg: Leg, limit: Time) -> Coro[None]:
+    def run_leg(self, ask: ClientRequest, leg: Leg, limit: Time) -> Coro[None]:
         assert isinstance(ask, PlatformAsk)
         return PlatformLeg(self.host, ask, leg, limit).run()
 
-    def hold(self, ask: Ask, leg: Leg, server: Server) -> Coro[bool]:
+    def reserve(self, ask: ClientRequest, leg: Leg, server: Server) -> Coro[bool]:
         """Asks once the read's last byte is written; only then is a read out that the server may know of."""
         assert isinstance(ask, PlatformAsk)
         while ask.written is not leg:
             if leg.outcome is not None:
                 return False
             yield from self.host.world.sleep(MS)
-        if (reason := may_hold(leg)) is not None:
-            self.host.forbidden(Act.HOLD, reason, leg)
+        if (reason := hold_denial(leg)) is not None:
+            self.host.action_denied(Act.HOLD, reason, leg)
             return False
         answer = yield from self.host.call(server, "POST", platform.LEASES + ask.gen.name, b"")
         if answer is None or answer.status in (200, 204):  # unknown is perhaps held
@@ -44,37 +44,37 @@
         yield from ()
         return False, None
 
-    def report(self, text: str) -> Report | None:
+    def parse_report(self, text: str) -> Report | None:
         return platform.report(text, self.host.doubts)
 
-    def started(self, ask: Ask, leg: Leg, fetched: bool) -> None:
+    def stream_started(self, ask: ClientRequest, leg: Leg, fetched: bool) -> None:
         assert isinstance(ask, PlatformAsk)
         ask.held, ask.held_since = False, None
 
-    def release_unused(self, ask: Ask) -> None:
+    def release_unused(self, ask: ClientRequest) -> None:
         """A worker spares what an attempt waits for that has arrived, so that may be held still once it ends."""
         self._release(ask)
 
-    def release(self, ask: Ask) -> None:
+    def release(self, ask: ClientRequest) -> None:
         assert isinstance(ask, PlatformAsk)
         self._release(ask)
         ask.held = False
 
-    def _release(self, ask: Ask) -> None:
+    def _release(self, ask: ClientRequest) -> None:
         assert isinstance(ask, PlatformAsk)
-        if may_release(ask.held or ask.doubt) is None:
+        if release_denial(ask.held or ask.doubt) is None:
             bounds = self.host.arrival_settings(ask.gen).bounds
             release = Release(self.host, ask.gen, bounds, ask.held_since)
-            self.host.group.spawn(self.host.counted(release.run()), f"release {ask.gen.name}")
+            self.host.group.spawn(self.host.tracked(release.run()), f"release {ask.gen.name}")
             if ask.doubt:
                 again = self._release_again(ask, bounds)
-                self.host.group.spawn(self.host.counted(again), f"release {ask.gen.name} again")
+                self.host.group.spawn(self.host.tracked(again), f"release {ask.gen.name} again")
                 ask.doubt = False
 
     def _release_again(self, ask: PlatformAsk, bounds: Bounds) -> Coro[None]:
         """What a read may have left after its release, unless a stream has begun since, which lets go of it. The time rests
         while an attempt is out, whose state this would tear."""
-        pause = release_again(bounds.release)
+        pause = second_release_delay(bounds.release)
         yield from self.host.world.sleep(pause)
         while ask.gen.out():
             yield from self.host.world.sleep(pause)
--- a/stackpitch/platform/leg.py
+++ b/stackpitch/platform/leg.py
@@ -3,7 +3,7 @@
 from typing import TYPE_CHECKING
 
 from stackpitch.gateway import pacing
-from stackpitch.gateway.leg import End, LegRun
+from stackpitch.gateway.leg import LegEnd, LegRunner
 from stackpitch.gateway.outcomes import Phase
 from stackpitch.gateway.pool import Pool
 from stackpitch.interface import ANSWERED, Leg, Time
@@ -17,17 +17,17 @@
 SMALL = 1 << 16  # bytes of an answer that is no stream
 
 
-class PlatformLeg(LegRun):
+class PlatformLeg(LegRunner):
     """A stream begins for the client with its first whole event; until then a spoilt answer is a failed leg."""
 
     def __init__(self, host: "Host", ask: PlatformAsk, leg: Leg, limit: Time) -> None:
         super().__init__(host, ask, leg, limit)
-        self.ask, self.events = ask, platform.Events(parts=pacing.most_events(leg.gen.limit_tok))
+        self.ask, self.events = ask, platform.Events(parts=pacing.max_events(leg.gen.limit_tok))
 
-    def _load(self) -> str | None:
+    def _load_report(self) -> str | None:
         return self.events.load or self.reader.headers.get("srv-load")
 
-    def _leave(self, pool: Pool, stream: Stream, end: End | None) -> None:
+    def _return_connection(self, pool: Pool, stream: Stream, end: LegEnd | None) -> None:
         """Notes what the leg may have left behind: a read that was seen to end, or may have ended unseen."""
         if self.leg.server.role != "writer" and self.phase[0] >= Phase.SENT:
             if end is not None and end.outcome == "read":
@@ -36,21 +36,21 @@
                 self.ask.doubt = True
         elif end is not None and end.outcome in ANSWERED and self.ask.held_since is not None:
             self.ask.held_since = self.host.world.now()
-        super()._leave(pool, stream, end)
+        super()._return_connection(pool, stream, end)
 
-    def _request(self) -> bytes:
+    def _build_request(self) -> bytes:
         ask, host, port = self.ask, *self.host.roster.addresses[self.leg.server]
         left = max(1, self.time_left() // MS)
         return http.request(
             ask.method, ask.target, f"{host}:{port}", ask.body, [*ask.headers, (platform.DEADLINE, str(left))]
         )
 
-    def _exchange(self, stream: Stream, scope: Scope) -> Coro[End]:
-        yield from self._write(stream, self._request())
+    def _exchange(self, stream: Stream, scope: Scope) -> Coro[LegEnd]:
+        yield from self._send_request(stream, self._build_request())
         self.ask.written = self.leg
         reader = self.reader
         while not reader.head_done:
-            yield from self._more(stream)
+            yield from self._read_more(stream)
         self.phase[0] = Phase.HEAD
         kind = reader.headers.get("content-type", "")
         if (
@@ -62,46 +62,46 @@
         whole = self.events.feed(reader.pieces)
         while not self.events.events:
             if reader.complete:
-                return self._broken("garbled", "a stream without any event")
-            yield from self._more(stream)
+                return self._failure_end("garbled", "a stream without any event")
+            yield from self._read_more(stream)
             whole += self.events.feed(reader.pieces)
         scope.relax()
         if not self.host.leg_started(self.ask, self.leg, True):
-            return self._broken("cancelled", "nobody wants it")
+            return self._failure_end("cancelled", "nobody wants it")
         self.phase[0] = Phase.STREAMING
         return (yield from self._relay(stream, whole))
 
-    def _whole(self, stream: Stream) -> Coro[End]:
+    def _whole(self, stream: Stream) -> Coro[LegEnd]:
         """An answer that is no stream: a read, a refusal or an error."""
         reader = self.reader
         body = b"".join(reader.pieces)
         while not reader.complete:
-            yield from self._more(stream)
+            yield from self._read_more(stream)
             body += b"".join(reader.pieces)
             if len(body) > SMALL:
                 raise http.BadMessage(502, f"answer is over {SMALL} bytes")
         kept = platform.read_kept(body) if reader.status == 202 else None
         declined = reader.headers.get("srv-declined") == "1"
         outcome, no_state = platform.answered(self.leg.server.role, reader.status, declined, kept is not None)
-        return End(
+        return LegEnd(
             outcome,
             self.phase[0],
             0 if kept is None else kept,
             no_state,
-            self._load(),
+            self._load_report(),
             f"status {reader.status}",
         )
 
-    def _relay(self, stream: Stream, whole: bytes) -> Coro[End]:
+    def _relay(self, stream: Stream, whole: bytes) -> Coro[LegEnd]:
         """Passes whole events on as they come; a client that is slow holds up its stream, not the memory."""
         reader, ask, host, events = self.reader, self.ask, self.host, self.events
         most = min(65536, host.bounds.buffer // 2)  # a read comes on top of what waits for the client
         self._watch_gap(stream)
         try:
             while True:
-                if whole and not ask.pass_on([whole]):
-                    host.departed(ask)
-                    return self._broken("cancelled", "the client has left")
+                if whole and not ask.forward([whole]):
+                    host.client_departed(ask)
+                    return self._failure_end("cancelled", "the client has left")
                 whole, reader.pieces = (
                     b"",
                     [],
@@ -110,22 +110,22 @@
                 if (
                     client is not None
                     and client.buffered > behind
-                    and not (yield from self._patience(client, events.events))
+                    and not (yield from self._wait_for_client(client, events.events))
                 ):
-                    host.departed(ask)
-                    return self._broken("cancelled", "the client has left, or took too little")
+                    host.client_departed(ask)
+                    return self._failure_end("cancelled", "the client has left, or took too little")
                 if reader.complete:
                     break
-                yield from self._more(stream, most)
+                yield from self._read_more(stream, most)
                 whole = events.feed(reader.pieces)
-                self.moved += len(whole)  # what is no whole event moves nothing for the client
+                self.stream_bytes += len(whole)  # what is no whole event moves nothing for the client
         finally:
-            host.relayed += self.moved
+            host.relayed_bytes += self.stream_bytes
             if self.gap_timer is not None:
                 self.gap_timer.cancel()
         if not events.done or events.rest:
-            return self._broken("garbled", "the stream ended without [DONE]")
+            return self._failure_end("garbled", "the stream ended without [DONE]")
         if ask.client is not None:
-            ask.patience = self._owed(ask.client, 0, events.events)
+            ask.drain_time = self._time_to_drain(ask.client, 0, events.events)
         usage = engine.last_usage(events.usage + b"\n\n")
-        return End("streamed", Phase.STREAMING, usage.kept if usage else 0, report=self._load())
+        return LegEnd("streamed", Phase.STREAMING, usage.kept if usage else 0, report=self._load_report())
--- a/stackpitch/platform/plan.py
+++ b/stackpitch/platform/plan.py
@@ -19,7 +19,7 @@
 OWN = 7  # descriptors: three standard streams, epoll, two for signals, the listener
 PASSING = 2  # a client's connection that was just accepted, and the configuration while it is read anew
 UNSEEN = 3  # of libraries that whoever starts the program loads into it
-RESERVE = OWN + PASSING + UNSEEN + TRIES + PlatformDoor.told_why
+RESERVE = OWN + PASSING + UNSEEN + TRIES + PlatformDoor.max_over_limit
 CLIENTS = 0.42  # of the rest: the platform's clients hold a third at most for requests
 MAX_BODY, MAX_HEAD = 256 << 10, 16 << 10  # bytes; the protocol's bound, and what no head of it reaches
 CALLS_PART = 16  # one connection to servers in so many, and one at least, is for small calls alone
@@ -73,10 +73,10 @@
         max_answer=4 << 20,
         buffer=buffer,
         stall=GAP,
-        watch=20 * MS,
+        watchdog=20 * MS,
         request_level=0,
         release=release,
-        rest=10 * MS,
+        settle=10 * MS,
     )
 
 
@@ -90,7 +90,7 @@
     clients = int((sockets - RESERVE) * CLIENTS)
     engines = sockets - RESERVE - clients
     part = conf.memory_mb << 17  # bytes, an eighth
-    buffer = pacing.buffer(part, clients, MAX_BODY)
+    buffer = pacing.client_buffer(part, clients, MAX_BODY)
     return Plan(
         conf=conf,
         sockets=sockets,
--- a/stackpitch/platform/releasing.py
+++ b/stackpitch/platform/releasing.py
@@ -91,18 +91,18 @@
         """In the request's trace, if that is still kept; and with a line where the first worker told did not do it."""
         host, now = self.host, self.host.world.now()
         held = self._note_held(worker)
-        if (ask := host.asks.get(self.request)) is not None:
-            host.note(ask, Step.RELEASED, f"{worker.name}{held}")
+        if (ask := host.requests.get(self.request)) is not None:
+            host.trace_step(ask, Step.RELEASED, f"{worker.name}{held}")
             if isinstance(ask, PlatformAsk) and ask.held_since == self.since:
                 ask.held_since = None
-        if self.tries > 1 and host.telling.tells(now, Step.RELEASED):
+        if self.tries > 1 and host.trace_limiter.tells(now, Step.RELEASED):
             host.logger.info(
                 "release_repeated",
                 id=self.request.name,
                 tries=self.tries,
                 ms=(now - self.began) / MS,
                 server=worker.name,
-                left_out=host.telling.take_left_out(),
+                left_out=host.trace_limiter.take_left_out(),
             )
 
     def _note_held(self, worker: Server) -> str:
--- a/stackpitch/platform/reloading.py
+++ b/stackpitch/platform/reloading.py
@@ -4,7 +4,7 @@
 are the same, the module, what it has learnt and all connections stay. Where they are not, nothing of the old
 ones decides about requests that arrive later: these meet other classes, tenants and bounds, and a module made
 anew. Requests that are under way go on at the module they arrived at, with the facts they arrived with
-(`gateway.host.told.ArrivalSettings`).
+(`gateway.host.events.ArrivalSettings`).
 """
 
 from collections.abc import Mapping
@@ -96,7 +96,7 @@
 
     def _take_shares(self, new: Plan) -> None:
         """Bounds of connections, descriptors and memory. Where they are the same nothing changes."""
-        self.host.take_bounds(new.bounds)
+        self.host.apply_bounds(new.bounds)
         self.budget.resize(new.engines - new.calls, new.calls)
         self.door.take_bounds(new.clients, new.bodies)
 
--- a/stackpitch/platform/serve.py
+++ b/stackpitch/platform/serve.py
@@ -7,7 +7,7 @@
 from typing import Any, TypeVar
 
 from stackpitch.gateway.host import Host
-from stackpitch.gateway.permission import retry_elsewhere_after, takes_until
+from stackpitch.gateway.permission import accepts_until, retry_elsewhere_after
 from stackpitch.gateway.pool import Budget
 from stackpitch.gateway.roster import Roster
 from stackpitch.gateway.trace import TRACE_ALL
@@ -89,7 +89,7 @@
             world, host, log, conf.discovery, conf.known, watching.times(watching.share(conf.name, conf.seed))
         )
         reloading = Reloading(world, log, given, plan, host, budget, door, discovery)
-        host.telling.everything = given.get(TRACE_ALL) == "all"
+        host.trace_limiter.everything = given.get(TRACE_ALL) == "all"
         host.begin()
         listener = yield from _patiently(world, lambda: world.listen(conf.listen))
         group.spawn(door.serve(group, listener), "door")
@@ -120,14 +120,14 @@
         group.spawn(_reloads(caught, reloading), "reloads")
         log.info(
             "stopping",
-            held=len(host.asks),
+            held=len(host.requests),
             connections=door.connections,
             unseen_ms=(world.now() - told) / MS,
-            takes_for_ms=max(0, takes_until(told) - world.now()) / MS,
+            takes_for_ms=max(0, accepts_until(told) - world.now()) / MS,
         )
-        yield from world.sleep(takes_until(told) - world.now())
+        yield from world.sleep(accepts_until(told) - world.now())
         listener.finish()
-        while door.accepting or host.asks or host.calls or door.connections:
+        while door.accepting or host.requests or host.pending_calls or door.connections:
             door.close_idle()
             yield from world.sleep(20 * MS)
         log.classes()
@@ -170,9 +170,9 @@
     """What came of each class, why connections ended, what was not permitted, and which calls of the system failed, each
     since the last time."""
     log.counters(host.counters)
-    if closed := door.take_closings():
+    if closed := door.take_close_reasons():
         log.info("connections_ended", **closed)
-    if refused := host.refusals.take():
+    if refused := host.denials.take():
         log.info("not_permitted", **refused)
     if faults := world.take_faults():
         log.warning("system_faults", **faults, remedy=LocalFault.remedy)
--- a/stackpitch/rehearse/broken/gateways.py
+++ b/stackpitch/rehearse/broken/gateways.py
@@ -1,8 +1,8 @@
 """One break for each of the five rules."""
 
 from stackpitch.brain import Fleet, Guard
-from stackpitch.gateway.ask import Ask, OpenAsk
-from stackpitch.gateway.engines import Engines
+from stackpitch.gateway.client_request import ClientRequest, OpenAIRequest
+from stackpitch.gateway.engines import EngineBackend
 from stackpitch.gateway.roster import Roster
 from stackpitch.interface import Generation, Leg, Server
 from stackpitch.loop import Time
@@ -11,23 +11,23 @@
 
 def answered() -> None:
     """Every fifth refusal or end of a stream is never written."""
-    finish, refuse, count = OpenAsk.finish, OpenAsk.refuse, [0]
+    finish, refuse, count = OpenAIRequest.finish, OpenAIRequest.refuse, [0]
 
     def lost() -> bool:
         count[0] += 1
         return count[0] % 5 == 0
 
-    def finish_some(self: OpenAsk) -> None:
+    def finish_some(self: OpenAIRequest) -> None:
         if not lost():
             finish(self)
 
     def refuse_some(
-        self: OpenAsk, status: int, code: str, message: str, again: bool, retry_after: Time = 0
+        self: OpenAIRequest, status: int, code: str, message: str, again: bool, retry_after: Time = 0
     ) -> None:
         if not lost():
             refuse(self, status, code, message, again, retry_after)
 
-    OpenAsk.finish, OpenAsk.refuse = finish_some, refuse_some  # type: ignore[method-assign]
+    OpenAIRequest.finish, OpenAIRequest.refuse = finish_some, refuse_some  # type: ignore[method-assign]
 
 
 def effects() -> None:
@@ -59,11 +59,11 @@
 def pinned() -> None:
     """Nothing is let go: connections of states that were not taken stay open."""
 
-    def keep(self: Engines, ask: Ask, taken: Leg | None = None) -> None:
-        assert isinstance(ask, OpenAsk)
-        KEPT.extend(ask.states.pop(leg) for leg in list(ask.states) if leg is not taken)
+    def keep(self: EngineBackend, ask: ClientRequest, taken: Leg | None = None) -> None:
+        assert isinstance(ask, OpenAIRequest)
+        KEPT.extend(ask.held_states.pop(leg) for leg in list(ask.held_states) if leg is not taken)
 
-    Engines.release = keep  # type: ignore[method-assign]
+    EngineBackend.release = keep  # type: ignore[method-assign]
 
 
 KEPT: list[object] = []
--- a/stackpitch/rehearse/broken/vocabulary.py
+++ b/stackpitch/rehearse/broken/vocabulary.py
@@ -6,29 +6,29 @@
 from stackpitch.duties.vocabulary.judging import Outcome
 from stackpitch.duties.vocabulary.owning import Owning
 from stackpitch.duties.vocabulary.verdicts.judge import Verdicts
-from stackpitch.gateway.ask import OpenAsk
+from stackpitch.gateway.client_request import OpenAIRequest
 from stackpitch.gateway.engines import EngineLeg
-from stackpitch.gateway.tongues import Tongues
+from stackpitch.gateway.vocabulary_filter import VocabularyFilter
 from stackpitch.interface import Generation, Server
 
 
 def babel() -> None:
     """Token ids go to any engine as they came."""
 
-    def unsaid(self: OpenAsk) -> None:
+    def unsaid(self: OpenAIRequest) -> None:
         return None
 
-    def forget(self: OpenAsk, value: object) -> None:
+    def forget(self: OpenAIRequest, value: object) -> None:
         return None
 
-    OpenAsk.spoken = property(unsaid, forget)  # type: ignore[assignment]
+    OpenAIRequest.token_fields = property(unsaid, forget)  # type: ignore[assignment]
 
 
 def across() -> None:
     """A state is taken to mean the same to every writer."""
-    may, request = Tongues.may, EngineLeg._request
+    may, request = VocabularyFilter.allows, EngineLeg._build_request
 
-    def anywhere(self: Tongues, gen: Generation, server: Server) -> bool:
+    def anywhere(self: VocabularyFilter, gen: Generation, server: Server) -> bool:
         legs, gen.legs = gen.legs, []
         try:
             return may(self, gen, server)
@@ -36,7 +36,7 @@
             gen.legs = legs
 
     def fetching(self: EngineLeg) -> bytes:
-        known, source = self.host.roster.vocabularies, self.front.source(self.ask)
+        known, source = self.host.roster.vocabularies, self.backend.source(self.openai_request)
         if source is None or source.server not in known:
             return request(self)
         own, known[source.server] = known[source.server], known.get(self.leg.server, "")
@@ -45,7 +45,7 @@
         finally:
             known[source.server] = own
 
-    Tongues.may, EngineLeg._request = anywhere, fetching  # type: ignore[method-assign]
+    VocabularyFilter.allows, EngineLeg._build_request = anywhere, fetching  # type: ignore[method-assign]
 
 
 def willful() -> None:
--- a/tests/platform_expect.py
+++ b/tests/platform_expect.py
@@ -163,7 +163,7 @@
         assert self.calls <= int(most), f"{self.calls} calls"
 
     def expect_buffered(self, most: str) -> None:
-        found = [ask.client.buffered for ask in self.host.asks.values() if ask.client is not None]
+        found = [ask.client.buffered for ask in self.host.requests.values() if ask.client is not None]
         assert found and 0 < max(found) <= int(most), f"{found} bytes wait"
 
     def expect_sockets(self, most: str) -> None:
@@ -177,12 +177,12 @@
     def expect_tables(self, most: str) -> None:
         brain, host = self.host.brain, self.host
         sizes = {
-            "asks": len(host.asks),
+            "asks": len(host.requests),
             "pools": len(host.pools),
             "seats": len(brain.fleet.seats),
             "pinned": len(brain.holds.since),
             "plan": len(brain.writer.plan),
-            "waiting": len(self.door.waiting),
+            "waiting": len(self.door.idle_connections),
             "owners": len(brain.owner.table),
             "servers": len(host.roster.servers),
             "timers": len(self.world.timers),
@@ -227,7 +227,7 @@
         )
 
     def expect_facts(self, name: str, **facts: str) -> None:
-        gen = next((one for one in self.host.asks if one.name == self.clients[name].id), None)
+        gen = next((one for one in self.host.requests if one.name == self.clients[name].id), None)
         assert gen is not None, "it is not under way"
         of, customer = gen.product, gen.customer
         found = {
@@ -270,7 +270,9 @@
     def expect_idle(self) -> Coro[None]:
         host = self.host
         yield from self.until(
-            1500, lambda: not host.asks and not host.calls, lambda: f"{len(host.asks)} asks left"
+            1500,
+            lambda: not host.requests and not host.pending_calls,
+            lambda: f"{len(host.requests)} asks left",
         )
         yield from self.world.sleep(20 * MS)
         assert not host.brain.holds.since and not host.brain.writer.plan
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -280,7 +280,7 @@
 
     def do_rest(self, name: str, ticks: str) -> Coro[None]:
         """Until the rest of the only connection that has one is over, and so much longer."""
-        rest = next(one for one in self.door.waiting.values() if one.kept)
+        rest = next(one for one in self.door.idle_connections.values() if one.reused)
         yield from self.world.sleep(rest.scope.timer.when + int(ticks) - self.world.now())
 
     def do_meanwhile(self, what: str, *words: str) -> None:
@@ -393,7 +393,7 @@
         self.host.budget.resize(int(most))
 
     def do_module(self, what: str, name: str, server: str) -> None:
-        gen = next(gen for gen in self.host.asks if gen.name == self.clients[name].id)
+        gen = next(gen for gen in self.host.requests if gen.name == self.clients[name].id)
         self.host.hold(gen, next(one for one in self.host.roster.addresses if one.name == server))
 
     def take(self, client: Client) -> Coro[None]:
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -38,7 +38,7 @@
 from stackpitch.brain import Home
 from stackpitch.gateway import logs
 from stackpitch.gateway.admin import Admin
-from stackpitch.gateway.door import Door
+from stackpitch.gateway.client_listener import ClientListener
 from stackpitch.gateway.keeper import Keeper
 from stackpitch.gateway.metrics import Metrics
 from stackpitch.gateway.serve import _routes, host, reading, ticks
@@ -333,7 +333,7 @@
         self.settings = settings
         log, metrics, door = logs.make("g0", "error", "json"), Metrics(), settings.door
         self.gateway = host(self.world, self.group, settings, log, metrics)
-        self.door = Door(
+        self.door = ClientListener(
             self.world,
             self.gateway,
             log,
@@ -432,7 +432,7 @@
         if what == "probe":
             self.gateway.probe(servers[name])
             return
-        gen = next(gen for gen, ask in self.gateway.asks.items() if ask.request_id == name)
+        gen = next(gen for gen, ask in self.gateway.requests.items() if ask.request_id == name)
         if what == "cancel":
             self.gateway.cancel(gen.legs[-1])
         elif what == "move":
@@ -537,7 +537,7 @@
         assert not self.clients[name].after, f"{self.clients[name].after[:60]!r} came"
 
     def expect_buffered(self, most: str) -> None:
-        waits = sum(ask.client.buffered for ask in self.gateway.asks.values() if ask.client is not None)
+        waits = sum(ask.client.buffered for ask in self.gateway.requests.values() if ask.client is not None)
         assert 0 < waits <= int(most), f"{waits} bytes wait"
 
     def expect_roster(self, version: str) -> None:
@@ -553,7 +553,9 @@
     def expect_idle(self) -> Coro[None]:
         gateway = self.gateway
         yield from self.until(
-            1500, lambda: not gateway.asks and not gateway.calls, lambda: f"{len(gateway.asks)} asks left"
+            1500,
+            lambda: not gateway.requests and not gateway.pending_calls,
+            lambda: f"{len(gateway.requests)} asks left",
         )
         assert not gateway.brain.holds.since and not gateway.brain.writer.plan
         assert all(pool.open == len(pool.idle) for pool in gateway.pools.values()), "a connection is lost"
--- a/tests/test_attempt_ends.py
+++ b/tests/test_attempt_ends.py
@@ -3,12 +3,12 @@
 from types import SimpleNamespace
 from typing import Any
 
-from stackpitch.gateway.leg import LegRun
+from stackpitch.gateway.leg import LegRunner
 from stackpitch.interface import MS
 
 
-class Run(LegRun):
-    def _load(self) -> str | None:
+class Run(LegRunner):
+    def _load_report(self) -> str | None:
         return None
 
 
@@ -21,4 +21,4 @@
     )
     leg: Any = SimpleNamespace(gen=SimpleNamespace(gives_up=decided + left))
     attempt = Run(host, SimpleNamespace(), leg, left)  # type: ignore[arg-type]
-    assert attempt.ends <= decided + left
+    assert attempt.deadline <= decided + left
--- a/tests/test_attempt_writes.py
+++ b/tests/test_attempt_writes.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from stackpitch.gateway.leg import LegRun
-from stackpitch.gateway.outcomes import End, Phase
+from stackpitch.gateway.leg import LegRunner
+from stackpitch.gateway.outcomes import LegEnd, Phase
 from stackpitch.gateway.pool import Pool
 from stackpitch.interface import Generation, Leg, Product, Server
 from stackpitch.loop import MS, SECOND, Coro, Group, RealWorld, Scope, Stream, Task
@@ -18,22 +18,22 @@
 CHAT = Product("chat", "idempotent", "all", 0, 10_000, 0, 600, 40_000, 1, 0)
 
 
-class WritingAttempt(LegRun):
+class WritingAttempt(LegRunner):
     """Writes its request and takes that for the whole exchange."""
 
-    def _load(self) -> str | None:
+    def _load_report(self) -> str | None:
         return None
 
-    def _exchange(self, stream: Stream, scope: Scope) -> Coro[End]:
-        yield from self._write(stream, b"request")
-        return End("streamed", Phase.STREAMING)
+    def _exchange(self, stream: Stream, scope: Scope) -> Coro[LegEnd]:
+        yield from self._send_request(stream, b"request")
+        return LegEnd("streamed", Phase.STREAMING)
 
 
 class RaisingAttempt(WritingAttempt):
     """Meets an answer that nobody thought of."""
 
-    def _exchange(self, stream: Stream, scope: Scope) -> Coro[End]:
-        yield from self._write(stream, b"request")
+    def _exchange(self, stream: Stream, scope: Scope) -> Coro[LegEnd]:
+        yield from self._send_request(stream, b"request")
         raise KeyError("odd")
 
 
@@ -42,7 +42,7 @@
 ) -> tuple[str, bytes]:
     """The outcome of an attempt, and what its server got; `meanwhile` happens while its connection comes about, seen by the
     loop in the same turn as the connection."""
-    world, ends = RealWorld(), list[End]()
+    world, ends = RealWorld(), list[LegEnd]()
     listener = socket.create_server(("127.0.0.1", 0))
     address = listener.getsockname()
     server = Server("w1", "a", "w", 1, "writer", 1000)
@@ -55,11 +55,11 @@
         pool=lambda _: pool,
         bounds=SimpleNamespace(max_head=1000, max_answer=1000),
         leg_ended=lambda ask, leg, end: ends.append(end),
-        forbidden=lambda act, reason, leg: None,
-        written=lambda ask, leg: ask.unsent.discard(leg),
+        action_denied=lambda act, reason, leg: None,
+        leg_written=lambda ask, leg: ask.unsent.discard(leg),
         logger=SimpleNamespace(exception=lambda event, **fields: None),
     )
-    ask: Any = SimpleNamespace(left=lambda: False, unsent=set())
+    ask: Any = SimpleNamespace(client_left=lambda: False, unsent=set())
 
     def body(group: Group) -> Coro[None]:
         attempt = kind(host, ask, Leg(request, 0, server, world.now()), LIMIT)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -18,7 +18,7 @@
 from test_benchlink import ASK, CONFIG, GEN, START, play
 
 from stackpitch.benchlink.codec import WireError
-from stackpitch.gateway.engines import Engines
+from stackpitch.gateway.engines import EngineBackend
 from stackpitch.interface import MS, SECOND, Report
 from stackpitch.plausible import NOISE, Doubts
 from stackpitch.wire import engine, platform
@@ -367,12 +367,14 @@
     ],
 )
 def test_a_report_of_an_engine(text: str, found: tuple, kinds: dict[str, int]) -> None:
-    front = Engines(("a", "b", "c"))
+    front = EngineBackend(("a", "b", "c"))
     front.host = SimpleNamespace(doubts=Doubts())  # type: ignore[assignment]
-    assert front.report(text) == Report(*found)
+    assert front.parse_report(text) == Report(*found)
     assert {one: count for one, count in front.host.doubts.counts.items() if count} == kinds
     with pytest.raises(ValueError):
-        front.report("TEXT a=0.5,b=nan")  # half a report might mislead: unread, and counted so by the host
+        front.parse_report(
+            "TEXT a=0.5,b=nan"
+        )  # half a report might mislead: unread, and counted so by the host
 
 
 @pytest.mark.parametrize(
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -115,14 +115,14 @@
                 for one in (listener, other)
             ]
             pool = pools[0]
-            first = yield from pool.take([Phase.QUEUED])
+            first = yield from pool.acquire([Phase.QUEUED])
             far, _ = listener.accept()
             far.sendall(b"its answer")
             yield from first.recv()
             point.act = lambda: stray(far, kind)
             first.sock = Spied(first.sock, point)  # type: ignore[attr-defined]
             point("its answer is whole")
-            pool.give(first)
+            pool.release(first)
             point("it rests")
             yield from world.sleep(2 * MS)
             point("it rests, and the loop has polled")
@@ -137,7 +137,9 @@
             elif step == "its server is gone":
                 pool.close()
             else:
-                near.append((yield from pools[step == "makes way"].take([Phase.QUEUED], fresh="new" in step)))
+                near.append(
+                    (yield from pools[step == "makes way"].acquire([Phase.QUEUED], fresh="new" in step))
+                )
                 if near[0] is first:
                     assert not point.came_by("it is kept") and not point.came_by("before recv"), (
                         "it is used with bytes on it"
@@ -147,7 +149,7 @@
                     near[0].write(b"x")  # it is a good one
             point("after the step")
             for one in near:
-                pools[step == "makes way"].drop(one)
+                pools[step == "makes way"].discard(one)
             pool.close()
             yield from world.sleep(6 * MS)
             assert not budget.open and not budget.idle and not pool.open, f"{budget.open} places are lost"
@@ -200,7 +202,7 @@
                         client.sock.shutdown(socket.SHUT_WR)  # type: ignore[attr-defined]
 
             point.act = come
-            near = next(iter(made.waiting))
+            near = next(iter(made.idle_connections))
             near.sock = Spied(near.sock, point)  # type: ignore[attr-defined]
             point("it rests")
             if step == "SIGTERM":
@@ -235,7 +237,7 @@
                 assert status == wanted, f"it was there, unseen: {status}"
             assert taken == sum(one is not None and one.status == 200 for one in got), f"taken {taken} times"
             yield from world.sleep(30 * MS)
-            assert not made.connections and not made.lingering and not made.waiting, "it stays"
+            assert not made.connections and not made.lingering and not made.idle_connections, "it stays"
             listener.close()
             group.cancel()
 
--- a/tests/test_counted_calls.py
+++ b/tests/test_counted_calls.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from stackpitch.gateway.connections import Connections
+from stackpitch.gateway.connections import EngineConnections
 from stackpitch.loop import MS, ConnectFailed, Coro, Group, LocalFault, Lost
 from stackpitch.loop.virtual import VirtualWorld
 
@@ -30,17 +30,17 @@
 )
 def test_a_call_that_raises(wrong: Exception, said: tuple[str, str]) -> None:
     world, lines = VirtualWorld(), Lines()
-    host: Any = Connections.__new__(Connections)
-    host.calls, host.log = 0, lines
+    host: Any = EngineConnections.__new__(EngineConnections)
+    host.pending_calls, host.log = 0, lines
 
     def call() -> Coro[None]:
         yield from world.sleep(MS)
         raise wrong
 
     def body(group: Group) -> Coro[str]:
-        group.spawn(host.counted(call()), "call")
+        group.spawn(host.tracked(call()), "call")
         yield from world.sleep(5 * MS)
         return "goes on"
 
     assert world.run(world.group(body)) == "goes on"
-    assert lines.said == [said] and not host.calls
+    assert lines.said == [said] and not host.pending_calls
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -3,7 +3,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from stackpitch.gateway.permission import Refusals
+from stackpitch.gateway.permission import Denials
 from stackpitch.interface import Product
 from stackpitch.loop import MS, SECOND, ConnectFailed, Coro, Group, Lost, Stream, World
 from stackpitch.loop.real import RealWorld
@@ -19,17 +19,17 @@
     """Stands for the host: answers each request that is taken."""
 
     def __init__(self) -> None:
-        self.name, self.asks, self.taken = "h", dict[Any, Any](), list[str]()
-        self.refusals = Refusals()
+        self.name, self.requests, self.taken = "h", dict[Any, Any](), list[str]()
+        self.denials = Denials()
 
-    def arrived(self, ask: Any) -> None:
+    def request_arrived(self, ask: Any) -> None:
         self.taken.append(ask.gen.name)
         ask.begin(0)
-        ask.pass_on([b"data: {}\n\n", b"data: [DONE]\n\n"])
+        ask.forward([b"data: {}\n\n", b"data: [DONE]\n\n"])
         ask.finish()
 
-    def departed(self, ask: Any) -> None:
-        ask.leave()
+    def client_departed(self, ask: Any) -> None:
+        ask.detach_client()
 
 
 def door(world: World, host: Any, **odd: Any) -> PlatformDoor:
@@ -208,7 +208,14 @@
     def body(
         world: RealWorld, group: Group, made: PlatformDoor, host: Answering, address: Any
     ) -> Coro[dict[str, int]]:
-        most = {"connections": 0, "bodies": 0, "lingering": 0, "waiting": 0, "late": 0, "lost": 0}
+        most = {
+            "connections": 0,
+            "body_bytes": 0,
+            "lingering": 0,
+            "idle_connections": 0,
+            "late": 0,
+            "lost": 0,
+        }
 
         def bad(kind: str) -> Coro[None]:
             while True:
@@ -241,7 +248,7 @@
                     break
             most["lost"] += got is None or got.status != 200
             most["late"] += world.now() - begun > 500 * MS
-            for table in ("connections", "bodies", "lingering", "waiting"):
+            for table in ("connections", "body_bytes", "lingering", "idle_connections"):
                 found = getattr(made, table)
                 most[table] = max(most[table], found if isinstance(found, int) else len(found))
             yield from world.sleep(20 * MS)
@@ -249,7 +256,7 @@
 
     most = played(body, max_connections=120)
     assert most["lost"] == most["late"] == 0, str(most)
-    assert most["connections"] <= 120 + 17 and most["bodies"] <= 1 << 20, str(most)
+    assert most["connections"] <= 120 + 17 and most["body_bytes"] <= 1 << 20, str(most)
 
 
 def test_a_request_whose_facts_raise_is_answered() -> None:
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -6,21 +6,21 @@
 
 from stackpitch.gateway.permission import (
     Act,
-    Connection,
-    Now,
+    AttemptState,
+    ConnectionState,
+    Denials,
     Reason,
-    Refusals,
-    may_cancel,
-    may_end,
-    may_hold,
-    may_release,
-    may_send,
-    may_start,
+    cancel_denial,
+    end_denial,
+    hold_denial,
+    release_denial,
+    send_denial,
+    start_denial,
 )
 from stackpitch.gateway.trace import MOST_TOLD, Telling
 from stackpitch.interface import SECOND, Effect, Generation, Leg, Outcome, Product, Server
 
-NOW = Now(10 * SECOND, deadline=11 * SECOND)
+NOW = AttemptState(10 * SECOND, deadline=11 * SECOND)
 
 
 def attempt(effect: Effect = "idempotent", earlier: Outcome | None = "error", ago: int = 0) -> Leg:
@@ -35,46 +35,46 @@
 
 
 def test_an_attempt_is_sent_unless_a_fact_forbids_it() -> None:
-    assert may_send(attempt(), NOW) is None
-    assert may_send(attempt("deduplicated", "reset", 3500), NOW) is None
-    assert may_send(attempt("side-effecting", "full"), NOW) is None
-    assert may_send(attempt(), replace(NOW, client_left=True)) is Reason.CLIENT_LEFT
-    assert may_send(attempt(), replace(NOW, cancelled=True)) is Reason.CANCELLED
-    assert may_send(attempt(), replace(NOW, time=11 * SECOND)) is Reason.DEADLINE
-    assert may_send(attempt("deduplicated", "reset", 3600), NOW) is Reason.WINDOW
-    assert may_send(attempt(earlier=None), NOW) is Reason.ANOTHER_OUT
-    assert may_send(attempt("side-effecting", "reset"), NOW) is Reason.MAY_HAVE_RUN
+    assert send_denial(attempt(), NOW) is None
+    assert send_denial(attempt("deduplicated", "reset", 3500), NOW) is None
+    assert send_denial(attempt("side-effecting", "full"), NOW) is None
+    assert send_denial(attempt(), replace(NOW, client_left=True)) is Reason.CLIENT_LEFT
+    assert send_denial(attempt(), replace(NOW, cancelled=True)) is Reason.CANCELLED
+    assert send_denial(attempt(), replace(NOW, time=11 * SECOND)) is Reason.DEADLINE
+    assert send_denial(attempt("deduplicated", "reset", 3600), NOW) is Reason.WINDOW
+    assert send_denial(attempt(earlier=None), NOW) is Reason.ANOTHER_OUT
+    assert send_denial(attempt("side-effecting", "reset"), NOW) is Reason.MAY_HAVE_RUN
     for state, reason in (("draining", Reason.SERVER_DRAINING), ("gone", Reason.SERVER_GONE)):
         leg = attempt()
         leg.server.state = state  # type: ignore[assignment]
-        assert may_send(leg, NOW) is reason
+        assert send_denial(leg, NOW) is reason
     over = attempt()
     over.gen.over = True
-    assert may_send(over, NOW) is may_start(over, NOW) is may_hold(over) is Reason.ANSWERED
+    assert send_denial(over, NOW) is start_denial(over, NOW) is hold_denial(over) is Reason.ANSWERED
 
 
 def test_connections_and_releases() -> None:
     """No connection ends under a request that came or was taken, unless that is answered or its client has left."""
-    assert may_end(Connection()) is may_end(Connection(taken=True, answered=True)) is None
-    assert may_end(Connection(taken=True, client_left=True)) is None
-    assert may_end(Connection(unread=True)) is Reason.REQUEST_CAME
-    assert may_end(Connection(taken=True)) is Reason.UNANSWERED
-    assert Refusals().note(Act.END, Reason.UNANSWERED) and not Refusals().note(Act.END, Reason.REQUEST_CAME)
-    assert may_release(True) is None and may_release(False) is Reason.NOTHING_HELD
+    assert end_denial(ConnectionState()) is end_denial(ConnectionState(taken=True, answered=True)) is None
+    assert end_denial(ConnectionState(taken=True, client_left=True)) is None
+    assert end_denial(ConnectionState(unread=True)) is Reason.REQUEST_CAME
+    assert end_denial(ConnectionState(taken=True)) is Reason.UNANSWERED
+    assert Denials().note(Act.END, Reason.UNANSWERED) and not Denials().note(Act.END, Reason.REQUEST_CAME)
+    assert release_denial(True) is None and release_denial(False) is Reason.NOTHING_HELD
 
 
 def test_streams_and_cancels() -> None:
     leg = attempt()
-    assert may_start(leg, NOW) is may_cancel(leg, NOW) is may_hold(leg) is None
-    assert may_start(leg, replace(NOW, cancelled=True)) is Reason.CANCELLED
-    assert may_start(leg, replace(NOW, serving=leg.gen.legs[0])) is Reason.ANOTHER_SERVES
-    assert may_cancel(leg, replace(NOW, serving=leg)) is Reason.SERVES
-    assert may_cancel(leg.gen.legs[0], NOW) is Reason.ENDED
+    assert start_denial(leg, NOW) is cancel_denial(leg, NOW) is hold_denial(leg) is None
+    assert start_denial(leg, replace(NOW, cancelled=True)) is Reason.CANCELLED
+    assert start_denial(leg, replace(NOW, serving=leg.gen.legs[0])) is Reason.ANOTHER_SERVES
+    assert cancel_denial(leg, replace(NOW, serving=leg)) is Reason.SERVES
+    assert cancel_denial(leg.gen.legs[0], NOW) is Reason.ENDED
 
 
 @pytest.mark.parametrize("reason", Reason)
 def test_counts_begin_anew_once_told(reason: Reason) -> None:
-    refusals = Refusals()
+    refusals = Denials()
     broken = [refusals.note(Act.SEND, reason) for _ in range(2)]
     assert broken == [reason in (Reason.ANOTHER_OUT, Reason.MAY_HAVE_RUN, Reason.UNANSWERED)] * 2
     assert refusals.take() == {f"send {reason}": 2} and not refusals.take()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -10,8 +10,8 @@
 from play import scenarios
 
 from stackpitch.gateway import pacing
-from stackpitch.gateway.outcomes import Phase, broken
-from stackpitch.gateway.repeats import latest
+from stackpitch.gateway.outcomes import Phase, failure_outcome
+from stackpitch.gateway.resend_window import resend_deadline
 from stackpitch.interface import Generation, Leg, Product, Server
 from stackpitch.loop import SECOND
 from stackpitch.platform import config, watching
@@ -160,7 +160,7 @@
     ],
 )
 def test_what_a_broken_leg_means(phase: Phase, how: str, outcome: str) -> None:
-    assert broken(phase, how) == outcome
+    assert failure_outcome(phase, how) == outcome
 
 
 def test_until_when_a_repeat_may_be_handed_over() -> None:
@@ -173,7 +173,7 @@
             Leg(gen, at, servers[role], sent, outcome=outcome)  # type: ignore[arg-type]
             for at, (role, sent, outcome) in enumerate(legs)
         ]
-        return latest(gen.legs[-1])
+        return resend_deadline(gen.legs[-1])
 
     new = ("writer", 900, None)
     assert until("deduplicated", new) is None
@@ -195,15 +195,15 @@
 def test_what_waits_for_slow_clients_follows_from_the_limits() -> None:
     for memory_mb, sockets in ((24, 32), (64, 256), (64, 512), (128, 1024), (1024, 64)):
         clients = int((sockets - RESERVE) * CLIENTS)
-        one = pacing.buffer(memory_mb << 17, clients, MAX_BODY)
+        one = pacing.client_buffer(memory_mb << 17, clients, MAX_BODY)
         assert one * clients <= memory_mb << 17 and one <= MAX_BODY
     # 20 KB in events of 200 bytes, a token every 60 ms: 100 tokens, owed in 6 s.
-    assert pacing.time_to_take(20_000, 400_000, 2000, 600) == 2 * 6 * SECOND
+    assert pacing.drain_time_limit(20_000, 400_000, 2000, 600) == 2 * 6 * SECOND
     assert (
-        pacing.time_to_take(20_000, 400_000, 2000, 0) is None
-        and pacing.time_to_take(20_000, 0, 0, 600) is None
+        pacing.drain_time_limit(20_000, 400_000, 2000, 0) is None
+        and pacing.drain_time_limit(20_000, 0, 0, 600) is None
     )
-    assert pacing.most_events(50) == 264 and pacing.most_events(0) is None
+    assert pacing.max_events(50) == 264 and pacing.max_events(0) is None
 
 
 def test_facts_of_a_head() -> None:
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -9,7 +9,7 @@
 from platform_process import MOST, Agent, Gateway, Server, ask, idle, waited
 
 from stackpitch.gateway.outcomes import Phase
-from stackpitch.gateway.pool import Budget, NoneFree, Pool
+from stackpitch.gateway.pool import Budget, Pool, PoolExhausted
 from stackpitch.loop import MS, SECOND, Coro, Group, Lost, Stream, Task
 from stackpitch.loop.virtual import VirtualWorld
 from stackpitch.platform import serve
@@ -133,7 +133,7 @@
         margin=1,
     )
     assert list(door.serve(Spawned(), Queue())) == []
-    assert max(most) == 20 + door.told_why + 1 and len(came) == 300
+    assert max(most) == 20 + door.max_over_limit + 1 and len(came) == 300
 
 
 def test_the_reserve_holds_all_that_is_open_beside_clients_and_servers() -> None:
@@ -149,15 +149,15 @@
     ours, other = (Pool(world, address, 4, SECOND // 4, SECOND, 0, budget) for address in ports)
 
     def late() -> Coro[None]:
-        stream = yield from other.take([Phase.QUEUED])
+        stream = yield from other.acquire([Phase.QUEUED])
         got.append(world.now())
-        other.drop(stream)
+        other.discard(stream)
 
     def body(group: Group) -> Coro[None]:
-        stream = yield from ours.take([Phase.QUEUED])
+        stream = yield from ours.acquire([Phase.QUEUED])
         group.spawn(late(), "late")
         yield from world.sleep(50 * MS)
-        (ours.give if kept else ours.drop)(stream)
+        (ours.release if kept else ours.discard)(stream)
         freed.append(world.now())
 
     freed: list[int] = []
@@ -205,8 +205,8 @@
 
     def one(name: str, pool: Pool) -> Coro[None]:
         try:
-            stream = yield from pool.take([Phase.QUEUED])
-        except NoneFree:
+            stream = yield from pool.acquire([Phase.QUEUED])
+        except PoolExhausted:
             return
         got.append(name)
         held.append((pool, stream))
@@ -219,15 +219,15 @@
             what, *words = act.split()
             if what == "free":
                 pool, stream = held.pop()
-                (pool.give if kept else pool.drop)(stream)
+                (pool.release if kept else pool.discard)(stream)
             elif what == "cancel":
                 tasks[words[0]].cancel()
             else:
                 tasks[what] = group.spawn(one(what, pools[words[0]]), what)
         yield from world.sleep(20 * MS)
         for pool, stream in held:
-            pool.drop(stream)
+            pool.discard(stream)
 
     world.run(world.group(body))
     assert " ".join(got[1:]) == order
-    assert not budget.open and not budget.line and not any(pool.open for pool in pools.values())
+    assert not budget.open and not budget.waiters and not any(pool.open for pool in pools.values())
--- a/tests/test_releasing.py
+++ b/tests/test_releasing.py
@@ -34,8 +34,8 @@
         self.until, self.request = until, Request()
         self.world, self.silent, self.told = VirtualWorld(1), silent, list[tuple[str, int]]()
         servers = [Server(name, "a", "w", 1, "writer", 1000) for name in names]
-        self.roster, self.pools, self.asks = SimpleNamespace(addresses=dict.fromkeys(servers)), {}, {}
-        self.telling, self.began = Telling(), self.world.now()
+        self.roster, self.pools, self.requests = SimpleNamespace(addresses=dict.fromkeys(servers)), {}, {}
+        self.trace_limiter, self.began = Telling(), self.world.now()
         self.held, self.warnings = list[float](), list[dict[str, Any]]()
         self.metrics: Any = SimpleNamespace(
             releases=SimpleNamespace(labels=lambda _: SimpleNamespace(inc=int)),
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -6,7 +6,7 @@
 
 from play import Play, scenarios
 from traffic import Traffic
-from stackpitch.gateway.host import PEER_WORD
+from stackpitch.gateway.host import MAX_GOSSIP_BYTES
 
 ALL = scenarios(Path(__file__).parent / "scenarios")
 
@@ -32,7 +32,7 @@
         seat.mean = place % 200 / 100 / 1024
     words = [told.speak(0) for _ in range(6)]
     heard.hear(0, words[0])
-    assert 0 < len(heard.others) and max(len(word) for word in words) + 9 + 10 <= PEER_WORD
+    assert 0 < len(heard.others) and max(len(word) for word in words) + 9 + 10 <= MAX_GOSSIP_BYTES
     for word in words[1:]:
         heard.hear(0, word)
     assert [round(seat.mean * 1024 * 100) for seat in heard.order] == [place % 200 for place in range(1024)]
--- a/tests/test_settings_isolation.py
+++ b/tests/test_settings_isolation.py
@@ -336,7 +336,7 @@
     def ready(self, host: Any, door: Any) -> None:
         super().ready(host, door)
         self.in_force = self.configured()
-        arrived, send, write = host.arrived, host.send, host.logger._write
+        arrived, send, write = host.request_arrived, host.send, host.logger._write
 
         def noted_write(level: str, event: str, fields: dict[str, Any]) -> None:
             if event == "reloaded":
@@ -351,7 +351,7 @@
             self.judge(gen)
             return send(gen, server, limit)
 
-        host.arrived, host.send, host.logger._write = noted_arrived, noted_send, noted_write
+        host.request_arrived, host.send, host.logger._write = noted_arrived, noted_send, noted_write
 
     def judge(self, gen: Generation) -> None:
         self.sends += 1
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -35,8 +35,8 @@
 from stackpitch.duties.vocabulary.verdicts.judge import Digests
 from stackpitch.duties.vocabulary.verdicts.pair import Run
 from stackpitch.duties.vocabulary.work import VocabularyWork
-from stackpitch.gateway.ask import OpenAsk
-from stackpitch.gateway.tongues import Tongues
+from stackpitch.gateway.client_request import OpenAIRequest
+from stackpitch.gateway.vocabulary_filter import VocabularyFilter
 from stackpitch.loop import SECOND, RealWorld
 from stackpitch.loop.virtual import VirtualWorld
 from stackpitch.preferences import Preferences, RuledBrain
@@ -346,7 +346,7 @@
     def brain(self):
         if self.made is None:
             self.made = RuledBrain(
-                self, 7, Preferences(also=Tongues(self.roster, self).may), **self.arguments
+                self, 7, Preferences(also=VocabularyFilter(self.roster, self).allows), **self.arguments
             )
             self.made.begin(self.now)
             self.made.roster(self.now, list(self.servers.values()), True)
@@ -362,8 +362,8 @@
             self.roster.vocabularies[self.servers[name]] = kind
 
     def do_gen(self, name, product, ids=None, **given):
-        self.asks[name] = OpenAsk(None, None, "", {}, name, False)
-        self.asks[name].spoken = (
+        self.asks[name] = OpenAIRequest(None, None, "", {}, name, False)
+        self.asks[name].token_fields = (
             decide.Narrowed({one: {} for one in ids.split(",")}).spoken() if ids else None
         )
         super().do_gen(name, product, **given)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,8 +5,8 @@
 import msgspec
 import pytest
 
-from stackpitch.gateway.facts import BadRequest, Reading
-from stackpitch.gateway.outcomes import Phase, answered, broken
+from stackpitch.gateway.facts import BadRequest, RequestParser
+from stackpitch.gateway.outcomes import Phase, answer_outcome, failure_outcome
 from stackpitch.interface import Product
 from stackpitch.settings import BadSettings, Settings, read
 from stackpitch.wire import engine, http, orca, sse
@@ -123,7 +123,7 @@
     ],
 )
 def test_a_broken_leg_may_have_run_once_its_last_byte_was_sent(phase: Phase, how: str, outcome: str) -> None:
-    assert broken(phase, how) == outcome  # type: ignore[arg-type]
+    assert failure_outcome(phase, how) == outcome  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
@@ -139,11 +139,11 @@
 def test_only_a_refusal_with_its_code_proves_that_a_leg_never_ran(
     status: int, body: bytes, outcome: tuple
 ) -> None:
-    assert answered("write", status, engine.refusal(status, body), False) == outcome
+    assert answer_outcome("write", status, engine.refusal(status, body), False) == outcome
 
 
 PRODUCT = Product("chat", "idempotent", "all", 0, 1000, 100, 60, 40_000, 1.0, 0.1)
-READING = Reading({"chat": PRODUCT}, {"m": PRODUCT}, {}, 4.0, 100)
+READING = RequestParser({"chat": PRODUCT}, {"m": PRODUCT}, {}, 4.0, 100)
 CHAT = {
     "model": "m",
     "messages": [{"role": "system", "content": "s" * 400}, {"role": "user", "content": "u" * 40}],
@@ -151,7 +151,7 @@
 
 
 def facts(headers: dict, **fields: object) -> object:
-    return READING.read("/v1/chat/completions", headers, msgspec.json.encode({**CHAT, **fields}), "id")
+    return READING.parse("/v1/chat/completions", headers, msgspec.json.encode({**CHAT, **fields}), "id")
 
 
 def test_what_a_request_says_of_its_generation() -> None:
