--- a/tests/platform_expect.py
+++ b/tests/platform_expect.py
@@ -276,6 +276,6 @@
         )
         yield from self.world.sleep(20 * MS)
         assert not host.brain.holds.since and not host.brain.writer.plan
-        assert not host.earlier, "generations of an earlier module are left"
+        assert not host.earlier_settings, "generations of an earlier module are left"
         assert all(one.open == len(one.idle) for one in host.pools.values()), "a connection is lost"
         assert host.budget.open == sum(one.open for one in host.pools.values()), "the budget is out"
