--- a/stackpitch/gateway/connection_closing.py
+++ b/stackpitch/gateway/connection_closing.py
@@ -22,9 +22,9 @@
 
 @dataclass(eq=False, slots=True)
 class IdleConnection:
-    """A connection without a request. `kept`: it had one before. `first`: what had come when it was to end."""
+    """A connection without a request. `reused`: it had one before. `first`: what had come when it was to end."""
 
-    kept: bool
+    reused: bool
     scope: Scope
     first: bytes = b""
 
@@ -68,7 +68,7 @@
         reason = end_denial(ConnectionState(unread=bool(rest.first)))
         if reason is None:
             self.lingering[stream] = None
-            if not rest.kept:
+            if not rest.reused:
                 self._answer_no_request(stream)
             stream.finish()
         else:
@@ -83,7 +83,7 @@
         for ask in self.host.requests.values():
             ask.close_after = True
         takes = self._accept_denial() is None
-        for stream in [one for one, rest in self.idle_connections.items() if rest.kept or not takes]:
+        for stream in [one for one, rest in self.idle_connections.items() if rest.reused or not takes]:
             self._end_idle(stream)
 
     def _accept_denial(self) -> Reason | None:
