--- a/stackpitch/platform/discovery.py
+++ b/stackpitch/platform/discovery.py
@@ -41,7 +41,13 @@
     """
 
     def __init__(
-        self, world: World, host: Host, log: "Log", target: Address, known: platform.ServerList, times: WatchTimes
+        self,
+        world: World,
+        host: Host,
+        log: "Log",
+        target: Address,
+        known: platform.ServerList,
+        times: WatchTimes,
     ) -> None:
         self.world, self.host, self.log, self.target, self.times = world, host, log, target, times
         self.entries: dict[str, Entry] = {}
--- a/stackpitch/platform/leg.py
+++ b/stackpitch/platform/leg.py
@@ -134,4 +134,6 @@
         if ask.client is not None:
             ask.drain_time = self._time_to_drain(ask.client, 0, events.events)
         usage = engine.last_usage(events.usage + b"\n\n")
-        return LegEnd("streamed", Phase.STREAMING, usage.cached_tok if usage else 0, report=self._load_report())
+        return LegEnd(
+            "streamed", Phase.STREAMING, usage.cached_tok if usage else 0, report=self._load_report()
+        )
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -346,7 +346,10 @@
     def brain(self):
         if self.made is None:
             self.made = RuledBrain(
-                self, 7, Preferences(server_filter=VocabularyFilter(self.roster, self).allows), **self.arguments
+                self,
+                7,
+                Preferences(server_filter=VocabularyFilter(self.roster, self).allows),
+                **self.arguments,
             )
             self.made.begin(self.now)
             self.made.roster(self.now, list(self.servers.values()), True)
