--- a/soak/mutants/held.py
+++ b/soak/mutants/held.py
@@ -89,7 +89,7 @@
 
     def look(self: Any, request: Any, since: int) -> None:
         out = [one for one in request.legs if one.outcome is None]
-        if self.since.get(request) == since and any(map(rests, out)):
+        if self.held_since.get(request) == since and any(map(rests, out)):
             acted()
         else:
             due(self, request, since)
--- a/stackpitch/brain/__init__.py
+++ b/stackpitch/brain/__init__.py
@@ -1,13 +1,15 @@
-"""All decisions of a gateway, and every table and tuned value behind them.
+"""The decision module: all decisions of a gateway, with the tables and tuned constants behind them.
 
-A generation passes AffinityDirectory, SessionAffinity, Reader and Writer by `take`, and back up by `back`; only Dispatcher sends."""
+A generation passes down the chain AffinityDirectory, SessionAffinity, Reader and Writer by `route`, and back
+up it by `leg_ended` when a leg ends. Only the Dispatcher sends and refuses.
+"""
 
 from typing import Any
 
 from stackpitch.brain.admission import Admission
 from stackpitch.brain.affinity import AffinityDirectory, SessionAffinity
-from stackpitch.brain.fleet import Fleet
 from stackpitch.brain.dispatcher import Dispatcher
+from stackpitch.brain.fleet import Fleet
 from stackpitch.brain.held_state import HeldState
 from stackpitch.brain.probing import Probing
 from stackpitch.brain.reader import Reader
@@ -29,7 +31,9 @@
 
 
 class Brain(Module):
-    ASK_AGAIN = 2 * SECOND  # after a failed call to a discovery that must be asked
+    """The decision module of one gateway: receives its notifications and makes its decisions."""
+
+    ROSTER_RETRY = 2 * SECOND  # pause after a failed subscription to the roster
 
     def __init__(self, gateway: Gateway, seed: int, **arguments: Any) -> None:
         """`arguments`: the fields of `interface.ModuleSettings`."""
@@ -51,6 +55,7 @@
         self.chain = self.affinity_directory, self.affinity, self.reader, self.writer
 
     def begin(self, now: Time) -> None:
+        """Starts the module. Called once, before any other notification."""
         self.fleet.created_at = now
         if self.must_ask:
             self.gateway.subscribe()
@@ -60,37 +65,38 @@
 
     def roster_failed(self, now: Time) -> None:
         if self.must_ask:
-            self.gateway.call_later(self.ASK_AGAIN, lambda _: self.gateway.subscribe())
+            self.gateway.call_later(self.ROSTER_RETRY, lambda _: self.gateway.subscribe())
 
     def arrived(self, now: Time, gen: Generation) -> None:
         self.probing.arrived(now)
-        self.affinity_directory.take(now, gen)
+        self.affinity_directory.route(now, gen)
 
     def stream_started(self, now: Time, leg: Leg) -> None:
-        seat = self.fleet.server_states[leg.server]
-        seat.waiting.pop(leg, None)
-        self.fleet.record_success(seat, now, leg)
+        state = self.fleet.server_states[leg.server]
+        state.waiting.pop(leg, None)
+        self.fleet.record_success(state, now, leg)
         self.held_state.stream_started(leg.gen)
         self.affinity.stream_started(now, leg)
 
-    def ended(self, now: Time, leg: Leg, kept_tok: int, no_state: bool, report: Report | None) -> None:
-        seat, gen = self.fleet.server_states[leg.server], leg.gen
-        seat.waiting.pop(leg, None)
-        seat.drop(gen)
-        self.fleet.reported(seat, now, report)
-        self.held_state.ended(now, leg, no_state)
+    def ended(self, now: Time, leg: Leg, cached_tok: int, no_state: bool, report: Report | None) -> None:
+        state, gen = self.fleet.server_states[leg.server], leg.gen
+        state.waiting.pop(leg, None)
+        state.remove(gen)
+        self.fleet.report_received(state, now, report)
+        self.held_state.leg_ended(now, leg, no_state)
         if leg.outcome == "read":
-            self.fleet.record_success(seat, now, leg)
-            self.reader.overtaken(now, seat, leg)
+            self.fleet.record_success(state, now, leg)
+            self.reader.cancel_overtaken(now, state, leg)
         elif leg.outcome in ("error", "time-out", "unreachable", "reset", "full") and not no_state:
-            self.fleet.record_failure(seat, now, leg)
-        any(stage.back(now, leg, kept_tok, no_state) for stage in reversed(self.chain))  # until one keeps it
+            self.fleet.record_failure(state, now, leg)
+        # Up the chain until a stage has sent the generation on.
+        any(stage.leg_ended(now, leg, cached_tok, no_state) for stage in reversed(self.chain))
         if not gen.in_flight():
             self.dispatcher.refuse(gen, "attempts")
-            self.writer.planned_writers.pop(gen, seat).drop(gen)
+            self.writer.planned_writers.pop(gen, state).remove(gen)
 
     def awaits_peer(self, gen: Generation) -> bool:
-        return self.affinity_directory.asked.get(self.affinity.session_key(gen)) is gen
+        return self.affinity_directory.lookups.get(self.affinity.session_key(gen)) is gen
 
     def departed(self, now: Time, gen: Generation) -> None:
         if not gen.in_flight():
--- a/stackpitch/brain/held_state.py
+++ b/stackpitch/brain/held_state.py
@@ -1,53 +1,57 @@
-"""Releases in time what requests may hold at workers while no attempt is known to use it.
-
-A state waits at its prefill worker until a decode worker takes it. An attempt that was sent there is no
-sign that it has been: it may lie unread in a socket of a worker that has hung or was cut off, and then
-stops no clock. Only an answer on the attempt's own connection shows that it arrived: what its worker does
-on others, such as a stream that goes on, says nothing of it. Until then the state's time runs, and it is
-released as late as is safe: a release also tears it from an attempt that waits in its worker's queue,
-which has to read the whole prompt again then.
+"""Releases in time the KV state that requests hold at workers while no attempt is known to use it.
+
+KV state waits at its prefill worker until a decode worker fetches it. An attempt that was sent to a decode
+worker is no sign that this has happened: it may lie unread in a socket of a worker that hangs or was cut off,
+and does not stop the time limit. Only an answer on the attempt's own connection shows that it arrived; other
+connections of the same worker, such as a stream that continues, show nothing about it. Until then the limit
+runs, and the state is released as late as is safe: a release also takes it from an attempt that waits in its
+worker's queue, which then has to read the whole prompt again.
 """
 
 from stackpitch.interface import ANSWERED, NEVER_RAN, Gateway, Generation, Leg, Time
 
 
 class HeldState:
-    # Of the time allowed, then a release is sent: the rest, and what the page grants, is for its way.
-    RELEASE_PART = 0.95
-    VAIN_PART = 0.6  # of it, after which no further connection is tried in vain
+    """The KV state held for generations, and the timers that release it."""
+
+    # Share of the time allowed after which a release is sent. The rest, and what the platform grants beyond,
+    # is for its delivery.
+    RELEASE_AT = 0.95
+    # Share of the time allowed after which no further connection is tried if the last one failed.
+    RECONNECT_UNTIL = 0.6
 
     def __init__(self, gateway: Gateway, allowed: Time) -> None:
         self.gateway, self.allowed = gateway, allowed
-        # Since when a state is held, or is again; emptied by a stream's start, by a worker that finds no
-        # state, and by the request's end.
+        # Since when KV state is held, or held again; emptied when a stream starts, when a worker finds no
+        # state, and when the request is over.
         self.held_since: dict[Generation, Time] = {}
 
-    def ended(self, now: Time, leg: Leg, no_state: bool) -> None:
-        """An attempt's outcome starts the time anew if its worker answered it."""
+    def leg_ended(self, now: Time, leg: Leg, no_state: bool) -> None:
+        """Starts the time limit, or restarts it after an outcome that the worker reported itself."""
         gen = leg.gen
         if no_state:
             self.held_since.pop(gen, None)
         elif leg.outcome == "read" or gen in self.held_since and leg.outcome in ANSWERED:
             self.held_since[gen] = now
-            self.gateway.call_later(int(self.allowed * self.RELEASE_PART), lambda _: self._due(gen, now))
+            self.gateway.call_later(int(self.allowed * self.RELEASE_AT), lambda _: self._due(gen, now))
         elif leg.server.role == "reader" and leg.outcome not in NEVER_RAN:
-            # It may have ended well unseen; the prompt is read again in any case.
+            # The read may have completed without its answer arriving; the prompt is read again in any case.
             self.gateway.release(gen, "read-in-doubt")
 
     def _due(self, gen: Generation, since: Time) -> None:
         if self.held_since.get(gen) == since:
             self.gateway.release(gen, "attempt-unread")
 
-    def overdue(self, now: Time, leg: Leg) -> bool:
-        """Whether one more connection in vain would come after the release."""
+    def too_late_to_reconnect(self, now: Time, leg: Leg) -> bool:
+        """Whether another failed connection, after this leg's, would end only after the release."""
         held = now - self.held_since.get(leg.gen, now) if leg.outcome in ("unreachable", "not-sent") else 0
-        return held > self.allowed * self.VAIN_PART
+        return held > self.allowed * self.RECONNECT_UNTIL
 
     def stream_started(self, gen: Generation) -> None:
-        """A stream lets go of all else by itself."""
+        """Forgets the generation's state: the start of a stream frees all that is held, without a release."""
         self.held_since.pop(gen, None)
 
     def release(self, gen: Generation) -> None:
-        """The request is over, with no attempt out."""
+        """Releases what is held for a request that is over and has no attempt in flight."""
         if self.held_since.pop(gen, None) is not None:
             self.gateway.release(gen, "request-over")
--- a/stackpitch/brain/probing.py
+++ b/stackpitch/brain/probing.py
@@ -1,30 +1,34 @@
-"""Asks for load where reports come no other way: with each generation the server asked longest ago."""
+"""Probes for load where reports come no other way: with each generation, the server probed longest ago."""
 
 from stackpitch.brain.fleet import Fleet
 from stackpitch.interface import Report, Server, Time
 
 
 class Probing:
-    BLANK = 12  # answers in a row that tell nothing but that they come, after which it ends
+    """Sends the probes, and stops once they turn out to report no load."""
+
+    MAX_BLANK_ANSWERS = 12  # in a row, with no report in any; then probing ends
 
     def __init__(self, fleet: Fleet, probes: bool) -> None:
-        self.fleet, self.left = fleet, self.BLANK if probes else 0
+        self.fleet, self.blanks_left = fleet, self.MAX_BLANK_ANSWERS if probes else 0
 
     def arrived(self, now: Time) -> None:
+        """Probes one server."""
         ready = (
-            [one for one in self.fleet.server_states.values() if one.server.state == "ready"]
-            if self.left
+            [state for state in self.fleet.server_states.values() if state.server.state == "ready"]
+            if self.blanks_left
             else []
         )
-        if (one := min(ready, default=None, key=lambda one: (one.asked, one.hash))) is not None:
-            one.asked = now
-            self.fleet.gateway.probe(one.server)
+        if (oldest := min(ready, default=None, key=lambda state: (state.probed_at, state.hash))) is not None:
+            oldest.probed_at = now
+            self.fleet.gateway.probe(oldest.server)
 
-    def probe_answered(self, now: Time, server: Server, well: bool, report: Report | None) -> None:
+    def probe_answered(self, now: Time, server: Server, healthy: bool, report: Report | None) -> None:
+        """Takes over the report of a probe's answer."""
         if report is not None and server in self.fleet.server_states:
-            self.left = self.BLANK
-            self.fleet.reported(self.fleet.server_states[server], now, report)
-        elif well and self.left:
-            self.left -= 1
-            if not self.left:
+            self.blanks_left = self.MAX_BLANK_ANSWERS
+            self.fleet.report_received(self.fleet.server_states[server], now, report)
+        elif healthy and self.blanks_left:
+            self.blanks_left -= 1
+            if not self.blanks_left:
                 self.fleet.gateway.log("probes end, they tell no load")
--- a/stackpitch/brain/reader.py
+++ b/stackpitch/brain/reader.py
@@ -1,4 +1,7 @@
-"""Picks a reader by a hash of the session, then a writer, near it if it can; reads again on failure."""
+"""Picks a reader by a hash of the shared prefix or the session, then a writer, near it if possible.
+
+After a failure the prompt is read again.
+"""
 
 from collections import deque
 from math import ceil, log
@@ -10,10 +13,18 @@
 
 
 class Reader:
-    SPREAD, SPILL = 2.0, 2.0  # readers that share a text, over those it needs; weight of what is read anew
-    TEXTS, LEAST = 64, 2  # of the last reads; servers weighed where peers tell of queues, or all leave one
-    LIMIT_FLOOR, LIMIT_TIMES = 600 * MS, 16  # and so many usual waits: before another reader is tried
-    LOST_FLOOR, LOST_TIMES = 250 * MS, 3  # and so many waits of a later read: its answer will not come
+    """The stage that sends generations to be read (prefilled)."""
+
+    # Readers that cache the same prefix, as a multiple of those that its traffic needs; and the weight of a
+    # token that has to be read, against a token that is queued.
+    PREFIX_SPREAD, UNCACHED_WEIGHT = 2.0, 2.0
+    # How many recent reads the share of a prefix is taken from; and how many servers are compared where
+    # gossip tells of queues: with more, all gateways would move away from one server at once.
+    RECENT_PREFIXES, COMPARED = 64, 2
+    # Time before another reader is tried: at least the first, otherwise so many mean waits.
+    LIMIT_FLOOR, LIMIT_FACTOR = 600 * MS, 16
+    # A read's answer counts as lost after this many times the wait of a later read, and LOST_FLOOR at least.
+    LOST_FLOOR, LOST_FACTOR = 250 * MS, 3
 
     def __init__(self, admission: Admission, writer: Writer, local_reads: bool, cancels: bool) -> None:
         self.dispatcher, self.fleet, self.admission, self.writer = (
@@ -22,76 +33,119 @@
             admission,
             writer,
         )
-        self.local_reads, self.cancels, self.texts = local_reads, cancels, deque[str](maxlen=self.TEXTS)
+        self.local_reads, self.cancels, self.recent_prefixes = (
+            local_reads,
+            cancels,
+            deque[str](maxlen=self.RECENT_PREFIXES),
+        )
 
-    def take(self, now: Time, gen: Generation) -> None:
-        cost, seat = self.pick(now, gen) if self.fleet.peers else (0.0, None)
+    def route(self, now: Time, gen: Generation) -> None:
+        """Throttles the generation, or plans its writer and sends it to a reader, or to a mixed server."""
+        cost, state = self.pick(now, gen) if self.fleet.peers else (0.0, None)
         if not gen.legs and self.admission.sheds(now, gen, cost):
             return
-        seat = seat if self.fleet.peers else self.pick(now, gen)[1]  # who is throttled takes no cold turn
-        self.texts += [gen.shared] if gen.shared is not None else []  # not what is throttled and comes again
-        whole = seat is None or seat.server.role == "mixed"  # no reader: who answers reads as well
-        cell = None if whole else self.fleet.writer_cell(seat.server.cell)
-        goal = seat if seat and whole else self.writer.pick(now, gen, cell)
-        if goal is None or seat is None and goal.server.role == "writer" and not self.local_reads:
+        # Without gossip admission needs no cost, and a throttled request must not use a cold server's slot.
+        state = state if self.fleet.peers else self.pick(now, gen)[1]
+        # After admission: a request that is throttled and retried counts once.
+        self.recent_prefixes += [gen.shared] if gen.shared is not None else []
+        # One server reads and writes: a mixed one, or a writer if there is no reader.
+        combined = state is None or state.server.role == "mixed"
+        cell = None if combined else self.fleet.pick_writer_cell(state.server.cell)
+        target = state if state and combined else self.writer.pick(now, gen, cell)
+        if target is None or state is None and target.server.role == "writer" and not self.local_reads:
             self.dispatcher.refuse(gen, "no-server")
-        elif whole:
-            self.writer.send(now, gen, goal)
+        elif combined:
+            self.writer.send(now, gen, target)
         else:
-            self.writer.planned_writers.pop(gen, goal).drop(gen)  # the one planned for an earlier read
-            self.writer.planned_writers[gen] = goal
-            goal.put(gen, self.writer.projected(gen))
-            most = max(self.LIMIT_FLOOR, int(self.LIMIT_TIMES * self.fleet.usual["reader"]))
-            most += gen.slo() - gen.product.slo_time  # what its length is allowed
-            seat.put(gen, gen.prompt_tok - (gen.shared_tok if gen.shared is not None else 0))
+            # Replaces the writer that was planned for an earlier read.
+            self.writer.planned_writers.pop(gen, target).remove(gen)
+            self.writer.planned_writers[gen] = target
+            target.assign(gen, self.writer.projected_tok(gen))
+            limit = max(self.LIMIT_FLOOR, int(self.LIMIT_FACTOR * self.fleet.mean_wait["reader"]))
+            limit += gen.slo() - gen.product.slo_time  # what the SLO allows for the length of the prompt
+            state.assign(gen, gen.prompt_tok - (gen.shared_tok if gen.shared is not None else 0))
             self.dispatcher.send(
-                now, gen, seat, gen.deadline if len(gen.legs) > self.dispatcher.max_legs - 3 else most
+                now,
+                gen,
+                state,
+                gen.deadline if len(gen.legs) > self.dispatcher.max_legs - 3 else limit,
             )
 
     def pick(self, now: Time, gen: Generation) -> tuple[float, ServerState | None]:
-        """Least to wait for, in tokens: reads queued, and what is read anew down an order that all share."""
-        seats = self.dispatcher.candidates("reader", now, gen) + self.dispatcher.candidates("mixed", now, gen)
-        seats = [one for one in seats if one.admitted_gen is gen] or seats
-        text, session = hashed(gen.shared or gen.session or gen.name), hashed(gen.session or gen.name)
-        here = mix_hashes(text, session) / 2**32 < self.fleet.stay
-        parts, whole = self.fleet.parts, self.fleet.whole
-        weight = [whole if one.server.role == "mixed" else parts[one.server.cell] for one in seats]
-        far = [(one.server.zone == self.fleet.zone) != here for one in seats]
-        keys = [-log((mix_hashes(one.hash, text) + 1) / 2**32) / of for one, of in zip(seats, weight)]
-        order = sorted(sorted(range(len(seats)), key=keys.__getitem__), key=far.__getitem__)
-        seen = max(self.TEXTS // 2, len(self.texts))  # as if many were seen, or all would spread all
-        part = (self.texts.count(gen.shared) + 1) / (seen + 1) if gen.shared is not None else 0.0
-        few = ceil(self.SPREAD * part * sum([weight[at] for at in order if not far[at]]))
-        order[:few] = sorted(order[:few], key=lambda at: mix_hashes(seats[at].hash, session))
-        fresh, costs = gen.prompt_tok - gen.shared_tok, list[tuple[float, ServerState]]()
-        for rank, at in enumerate(order[: self.LEAST] if self.fleet.peers else order):
-            anew = fresh // 3 if rank == 0 else fresh if rank < few else gen.prompt_tok
-            cost = self.fleet.queued_tok(seats[at], now, gen) + self.SPILL * anew + gen.prompt_tok * far[at]
-            costs.append((cost, seats[at]))
-            if cost <= self.SPILL * (fresh if rank + 1 < few else gen.prompt_tok):
-                break  # no later one costs less, even if nothing waits there
-        return min(costs, default=(0.0, None), key=lambda one: one[0])
+        """The server with the lowest cost, and the cost: tokens queued there, and weighted tokens that it
+        has to read. Servers are tried in an order by weighted rendezvous hashing, which all gateways
+        share."""
+        states = self.dispatcher.candidates("reader", now, gen) + self.dispatcher.candidates(
+            "mixed", now, gen
+        )
+        states = [state for state in states if state.admitted_gen is gen] or states
+        prefix_hash, session_hash = (
+            hashed(gen.shared or gen.session or gen.name),
+            hashed(gen.session or gen.name),
+        )
+        local = mix_hashes(prefix_hash, session_hash) / 2**32 < self.fleet.local_session_share
+        read_weights, mixed_weight = self.fleet.read_weights, self.fleet.mixed_weight
+        weights = [
+            mixed_weight if state.server.role == "mixed" else read_weights[state.server.cell]
+            for state in states
+        ]
+        # Servers of other zones come last for a session that is local, and first for one that isn't.
+        far = [(state.server.zone == self.fleet.zone) != local for state in states]
+        keys = [
+            -log((mix_hashes(state.hash, prefix_hash) + 1) / 2**32) / weight
+            for state, weight in zip(states, weights)
+        ]
+        order = sorted(sorted(range(len(states)), key=keys.__getitem__), key=far.__getitem__)
+        # With few reads so far, as if there had been more: otherwise each prefix would go to all readers.
+        seen = max(self.RECENT_PREFIXES // 2, len(self.recent_prefixes))
+        share = (self.recent_prefixes.count(gen.shared) + 1) / (seen + 1) if gen.shared is not None else 0.0
+        # The first servers in the order share the prefix; among them the session decides.
+        sharing = ceil(
+            self.PREFIX_SPREAD * share * sum([weights[index] for index in order if not far[index]])
+        )
+        order[:sharing] = sorted(
+            order[:sharing], key=lambda index: mix_hashes(states[index].hash, session_hash)
+        )
+        uncached, costs = gen.prompt_tok - gen.shared_tok, list[tuple[float, ServerState]]()
+        for rank, index in enumerate(order[: self.COMPARED] if self.fleet.peers else order):
+            # The first in the order likely caches earlier turns of the session as well.
+            to_read = uncached // 3 if rank == 0 else uncached if rank < sharing else gen.prompt_tok
+            cost = (
+                self.fleet.queued_tok(states[index], now, gen)
+                + self.UNCACHED_WEIGHT * to_read
+                + gen.prompt_tok * far[index]
+            )
+            costs.append((cost, states[index]))
+            if cost <= self.UNCACHED_WEIGHT * (uncached if rank + 1 < sharing else gen.prompt_tok):
+                break  # no later server costs less, even with an empty queue
+        return min(costs, default=(0.0, None), key=lambda priced: priced[0])
 
-    def overtaken(self, now: Time, seat: ServerState, leg: Leg) -> None:
-        """Cancels earlier reads there that wait far longer, token for token: their answers will not come."""
-        for one in list(seat.waiting) if self.cancels else ():
-            took = (now - leg.sent) * max(1.0, one.gen.prompt_tok / max(1, leg.gen.prompt_tok))
-            lost = one.sent < leg.sent and now - one.sent > max(self.LOST_FLOOR, self.LOST_TIMES * took)
-            if lost and len(one.gen.legs) + 2 <= self.dispatcher.max_legs:
-                self.dispatcher.gateway.cancel(one)
+    def cancel_overtaken(self, now: Time, state: ServerState, leg: Leg) -> None:
+        """Cancels earlier reads at the server that have waited far longer than this one did, in proportion to
+        their prompts: their answers are lost."""
+        for earlier in list(state.waiting) if self.cancels else ():
+            wait = (now - leg.sent) * max(1.0, earlier.gen.prompt_tok / max(1, leg.gen.prompt_tok))
+            lost = earlier.sent < leg.sent and now - earlier.sent > max(
+                self.LOST_FLOOR, self.LOST_FACTOR * wait
+            )
+            if lost and len(earlier.gen.legs) + 2 <= self.dispatcher.max_legs:
+                self.dispatcher.gateway.cancel(earlier)
 
-    def back(self, now: Time, leg: Leg, kept_tok: int, no_state: bool) -> bool:
+    def leg_ended(self, now: Time, leg: Leg, cached_tok: int, no_state: bool) -> bool:
+        """Sends to the writer after a read, otherwise has the prompt read again if there is time. Whether
+        a leg is in flight then."""
         gen = leg.gen
-        vain = (
-            self.dispatcher.held_state.overdue(now, leg) or sum(one.outcome == "full" for one in gen.legs) > 1
+        futile = (
+            self.dispatcher.held_state.too_late_to_reconnect(now, leg)
+            or sum(attempt.outcome == "full" for attempt in gen.legs) > 1
         )
-        if gen.over or gen.in_flight() or vain:
+        if gen.over or gen.in_flight() or futile:
             return False
         if leg.outcome == "read":
-            self.writer.take(now, gen)
+            self.writer.route(now, gen)
         elif (
             now + max(50 * MS, self.fleet.expected_first_token(now, gen) / 2) < gen.deadline
             and len(gen.legs) + 2 <= self.dispatcher.max_legs
         ):
-            self.take(now, gen)
+            self.route(now, gen)
         return gen.in_flight()
--- a/stackpitch/brain/server_state.py
+++ b/stackpitch/brain/server_state.py
@@ -1,4 +1,4 @@
-"""What this gateway knows of the servers: one by one, and in tables that the layers of `Fleet` share."""
+"""What this gateway knows of each server, and the tables that the layers of `Fleet` share."""
 
 from zlib import crc32
 
@@ -6,56 +6,71 @@
 
 
 def hashed(text: str) -> int:
+    """A 32-bit hash, equal on all gateways."""
     return crc32(text.encode())
 
 
-def mix_hashes(one: int, other: int) -> int:
-    """Ranks servers by hash. The product spoils the order that crc32 sums alone keep, as they are linear."""
-    mixed = (one ^ other) * 0x9E3779B1 & 0xFFFFFFFF
+def mix_hashes(first: int, second: int) -> int:
+    """Combines two 32-bit hashes into one that ranks servers (rendezvous hashing).
+
+    crc32 is linear, so an exclusive or of two sums alone would keep their order; the product breaks it.
+    """
+    mixed = (first ^ second) * 0x9E3779B1 & 0xFFFFFFFF
     return (mixed ^ mixed >> 15) * 0x85EBCA6B & 0xFFFFFFFF
 
 
-def faded(of: tuple[float, Time], now: Time, span: Time, least: float = 0.0) -> float:
-    """What is left of a figure noted at a time, if it is forgotten over this span, but for this part."""
-    return of[0] * max(least, 1 - (now - of[1]) / span)
+def faded(noted: tuple[float, Time], now: Time, span: Time, least: float = 0.0) -> float:
+    """A value noted at a time, decayed linearly over `span`, but to no less than the share `least` of it."""
+    return noted[0] * max(least, 1 - (now - noted[1]) / span)
 
 
 class ServerState:
-    """One server. Bounded by the roster and the legs that are out."""
+    """What is known of one server. Its tables are bounded by the legs in flight."""
 
     def __init__(self, server: Server) -> None:
-        self.server, self.hash, self.memory = server, hashed(server.name), max(1, server.memory_tok)
-        self.waiting: dict[Leg, Time] = {}  # legs with no word yet; emptied by stream start or outcome
-        self.tok: dict[Generation, int] = {}  # tokens our legs bring here; emptied by outcomes
-        self.own_tok, self.poured = 0, 0  # the sum of these; tokens that our legs ever brought here
-        self.asked, self.mean_share = (
-            -1,
-            0.0,
-        )  # when last probed; share of it that a gateway holds, by peers' words
-        self.peer_share, self.reported_at = (
-            0.0,
-            -SECOND * 60,
-        )  # share that others held by the last report; when
-        self.failures, self.ejected_until, self.down = 0, 0, False  # down: no connection held last
-        self.admission_credit: tuple[Time | None, float] = (
-            None,
-            0.0,
-        )  # start of the server, and how near its next turn is
-        self.late = 0.0, 0  # how long the last leg of ours waited here; and when
-        self.admitted_gen: Generation | None = None  # the one that may go there while it is cold
-
-    def put(self, gen: Generation, tok: int) -> None:
-        self.own_tok += max(0, tok) - self.tok.get(gen, 0)  # a shared text longer than its prompt may be told
-        self.tok[gen] = max(0, tok)
-
-    def drop(self, gen: Generation) -> None:
-        self.own_tok -= self.tok.pop(gen, 0)
+        self.server, self.hash, self.memory_tok = server, hashed(server.name), max(1, server.memory_tok)
+        # When each leg without an answer was sent; emptied when its stream starts or it ends.
+        self.waiting: dict[Leg, Time] = {}
+        # Tokens that our generations occupy here; emptied when their legs end.
+        self.tok_by_gen: dict[Generation, int] = {}
+        # The sum of these tokens; and all tokens that our legs ever brought here.
+        self.own_tok, self.routed_tok = 0, 0
+        # When it was last probed; and the share of its memory that one gateway holds, by the gossiped mean.
+        self.probed_at, self.mean_share = -1, 0.0
+        # The share of its memory that other gateways held, as last reported; and when that was.
+        self.peer_share, self.reported_at = 0.0, -SECOND * 60
+        # `unreachable`: the last failure was that no connection could be made or that it was reset.
+        self.failures, self.ejected_until, self.unreachable = 0, 0, False
+        # For slow start: the server's start time, and the credit towards its next admission (1 admits).
+        self.admission_credit: tuple[Time | None, float] = None, 0.0
+        self.last_wait = 0.0, 0  # how long our last leg waited here, and when that was
+        self.admitted_gen: Generation | None = (
+            None  # the generation that may go here while the server is cold
+        )
+
+    def assign(self, gen: Generation, tok: int) -> None:
+        """Counts a generation's tokens here, in place of an earlier count."""
+        # A client may state a shared prefix that is longer than its prompt, hence no less than 0.
+        self.own_tok += max(0, tok) - self.tok_by_gen.get(gen, 0)
+        self.tok_by_gen[gen] = max(0, tok)
+
+    def remove(self, gen: Generation) -> None:
+        """No longer counts a generation's tokens here."""
+        self.own_tok -= self.tok_by_gen.pop(gen, 0)
 
 
 class ServerTable:
-    PACE, LATE_SPAN = 4 * SECOND, 10 * SECOND  # the pace of done legs is averaged; mean waits fade
-    # AffinityEntry at least of what a lookup finds: gateways that see one in seconds would forget all between two.
-    COLD_CARE, ALIKE, KEPT = 0.6, 3, 31 / 32  # part used of a cold budget; gateways taken to do as we do
+    """The tables and moving averages over all servers, shared by the layers of `Fleet`.
+
+    All are bounded by the number of servers, roles or cells.
+    """
+
+    # Time over which the rate of successful legs is averaged; and over which mean waits decay.
+    RATE_SPAN, WAIT_SPAN = 4 * SECOND, 10 * SECOND
+    # Share of a cold server's budget that is used; and how many gateways are assumed to act as this one does.
+    # A lookup retains at least the last share of the averages: a gateway that gets a request only every few
+    # seconds would otherwise forget everything between two.
+    COLD_BUDGET_SHARE, SIMILAR_GATEWAYS, RETAINED_SHARE = 0.6, 3, 31 / 32
 
     def __init__(self, gateway: Gateway, seed: int, settings: ModuleSettings) -> None:
         self.gateway, self.seed, self.peers, self.zone = gateway, seed, settings.peers, settings.zone
@@ -64,39 +79,48 @@
             settings.gateways,
             max(1, settings.warm_up),
         )
-        self.cold_budget, self.cold_from = self.COLD_CARE * settings.fall_multiple, settings.cold_from
-        self.near, self.wanting = dict[int, float](), dict[int, float]()  # part written there; others to feed
-        self.stay, self.whole = 1.0, 0.0  # part of our sessions for this zone; a mixed server's weight
-        self.alike, self.count, self.created_at, self.planned = min(self.gateways, self.ALIKE), 0, 0, -1
-        self.server_states: dict[
-            Server, ServerState
-        ] = {}  # a seat goes once its server is gone and its last leg is back
-        self.by_role: dict[Role, list[ServerState]] = {
-            "reader": [],
-            "writer": [],
-            "mixed": [],
-        }  # the ready ones
+        self.cold_budget, self.cold_from = (
+            self.COLD_BUDGET_SHARE * settings.fall_multiple,
+            settings.cold_from,
+        )
+        # By cell: the share of its reads that is written there; and what it can write of other cells' reads.
+        self.local_writes, self.spare_writes = dict[int, float](), dict[int, float]()
+        # The share of our sessions that is read in this zone; and a mixed server's weight against a reader.
+        self.local_session_share, self.mixed_weight = 1.0, 0.0
+        self.similar_gateways, self.draws, self.created_at, self.planned_at = (
+            min(self.gateways, self.SIMILAR_GATEWAYS),
+            0,
+            0,
+            -1,
+        )
+        # An entry is removed once its server is gone and its last leg has ended.
+        self.server_states: dict[Server, ServerState] = {}
+        # Ready servers only.
+        self.by_role: dict[Role, list[ServerState]] = {"reader": [], "writer": [], "mixed": []}
+        # Capacity of the ready servers, in warm servers; and legs that succeeded, decayed with each lookup.
         self.warm_capacity, self.legs_done = (
             dict.fromkeys(self.by_role, 0.0),
             dict.fromkeys(self.by_role, 0.0),
-        )  # legs done
-        self.peer_held: dict[Role, float] = {}  # mean share that others hold, by reports
-        self.by_hash, self.parts = (
-            dict[int, ServerState](),
-            dict[int, float](),
-        )  # by peers' names; readers' by cell
-        self.ordered, self.list_digest = (
-            list[ServerState](),
-            b"",
-        )  # the servers as peers' words name them, and its mark
-        self.said, self.followed, self.reach = 0, 0, 1.0  # place said up to; means moved; peers that answer
-        self.mean: dict[Role, float] = dict.fromkeys(self.by_role, 0.0)  # tokens our legs brought to a server
-        self.done: dict[Role, tuple[float, Time]] = dict.fromkeys(self.by_role, (0.0, 0))  # legs; and when
-        # The mean wait over the SLO time; the servers by warmth summed over lookups, as `borne` is over legs.
-        self.late, self.lookup_capacity = dict(self.done), dict(self.done)
-        self.ahead = 5000.0  # mean of the tokens at a reader, while legs of ours were read there
-        self.usual: dict[Role, float] = {"reader": 100.0 * MS, "writer": 50.0 * MS, "mixed": 200.0 * MS}
-
-    def chance(self) -> float:
-        self.count += 1
-        return hashed(f"{self.seed} {self.count}") / 2**32
+        )
+        self.peer_held: dict[Role, float] = {}  # mean share that other gateways hold, by reports
+        # Servers by the hash that gossip names them by; and the weight of a reader by its cell.
+        self.by_hash, self.read_weights = dict[int, ServerState](), dict[int, float]()
+        # The servers in the order that gossip lists them in, and the digest of that list.
+        self.ordered, self.list_digest = list[ServerState](), b""
+        # Offset in `ordered` of the next gossip message; when the means were last updated; and the share of
+        # peers that answer lookups.
+        self.gossip_offset, self.means_updated, self.answer_rate = 0, 0, 1.0
+        self.routed_mean: dict[Role, float] = dict.fromkeys(self.by_role, 0.0)  # of `routed_tok`, over a role
+        # Recent successful legs, and when the last was.
+        self.recent_successes: dict[Role, tuple[float, Time]] = dict.fromkeys(self.by_role, (0.0, 0))
+        # The mean wait as a share of the SLO time; and the warm capacity summed over recent lookups, against
+        # which `legs_done` counts.
+        self.late_share, self.lookup_capacity = dict(self.recent_successes), dict(self.recent_successes)
+        self.mean_queued_tok = 5000.0  # mean of the tokens queued at a reader when our legs were read there
+        # Moving average of the wait for a leg's result.
+        self.mean_wait: dict[Role, float] = {"reader": 100.0 * MS, "writer": 50.0 * MS, "mixed": 200.0 * MS}
+
+    def random_unit(self) -> float:
+        """The next pseudo-random number from 0 up to 1, determined by the seed."""
+        self.draws += 1
+        return hashed(f"{self.seed} {self.draws}") / 2**32
--- a/stackpitch/brain/writer.py
+++ b/stackpitch/brain/writer.py
@@ -1,4 +1,4 @@
-"""Sends to the writer with the lowest projected memory; on failure before output to the next."""
+"""Sends to the writer with the lowest projected memory, and on failure before any output to the next."""
 
 from stackpitch.brain.dispatcher import Dispatcher
 from stackpitch.brain.server_state import ServerState, hashed, mix_hashes
@@ -6,68 +6,97 @@
 
 
 class Writer:
-    GROWTH = 0.4  # of the output limit that answers are taken to reach
-    FAR, AWAY, BLIND = 0.2, 0.3, 0.04  # held share by which those not planned, in other zones, unseen lose
-    LIMIT_FLOOR, LIMIT_TIMES = 400 * MS, 10  # and so many usual waits: before another writer is tried
+    """The last stage of the chain: picks a writer, or a mixed server, and sends to it."""
 
-    def __init__(self, guard: Dispatcher) -> None:
-        self.dispatcher, self.fleet = guard, guard.fleet
-        self.planned_writers: dict[
-            Generation, ServerState
-        ] = {}  # chosen before the read; emptied when the last leg is back
+    OUTPUT_SHARE = 0.4  # share of the output limit that answers are assumed to reach
+    # Held share of memory by which servers outside the planned cell are ranked lower; by how much more if
+    # they are in another zone; and the penalty of both if nothing is known of what other gateways hold.
+    OTHER_CELL_PENALTY, OTHER_ZONE_PENALTY, BLIND_PENALTY = 0.2, 0.3, 0.04
+    # Time before another writer is tried: at least the first, otherwise so many mean waits.
+    LIMIT_FLOOR, LIMIT_FACTOR = 400 * MS, 10
 
-    def projected(self, gen: Generation) -> int:
-        gap, most = (gen.product.token_gap if gen.output_time_hint is not None else 0), gen.max_output_tok
-        return gen.prompt_tok + min(most, gen.output_time_hint // gap if gap else int(most * self.GROWTH))
+    def __init__(self, dispatcher: Dispatcher) -> None:
+        self.dispatcher, self.fleet = dispatcher, dispatcher.fleet
+        # The server chosen for each generation, before its read; emptied when the last leg has ended.
+        self.planned_writers: dict[Generation, ServerState] = {}
+
+    def projected_tok(self, gen: Generation) -> int:
+        """Tokens that the generation is expected to occupy at its writer."""
+        gap, limit = (
+            (gen.product.token_gap if gen.output_time_hint is not None else 0),
+            gen.max_output_tok,
+        )
+        return gen.prompt_tok + min(
+            limit, gen.output_time_hint // gap if gap else int(limit * self.OUTPUT_SHARE)
+        )
 
     def pick(self, now: Time, gen: Generation, cell: int | None) -> ServerState | None:
-        seats = self.dispatcher.candidates("writer", now, gen) or self.dispatcher.candidates(
+        """The server with the lowest projected held share, preferably in this cell; None if there is none."""
+        states = self.dispatcher.candidates("writer", now, gen) or self.dispatcher.candidates(
             "mixed", now, gen
         )
-        by = hashed(f"{self.fleet.seed} {gen.name}")  # equal servers: not the same for all gateways
-        vain = bool(gen.legs) and gen.legs[-1].outcome == "unreachable"  # then to who answered last
-        usual = self.fleet.peer_held_share(seats[0].server.role if seats else "writer", now)
-        aways = [one.server.zone != self.fleet.zone for one in seats]
-        fars = aways if cell is None else [one.server.cell != cell for one in seats]
-        slower = (self.FAR, self.FAR + self.AWAY) if self.fleet.peer_held else (self.BLIND, self.BLIND)
-        keys = {
-            one: (-one.reported_at * vain, self.fleet.held_share(one, now, usual) + slower[away] * far)
-            for one, away, far in zip(seats, aways, fars)
+        tie_break = hashed(f"{self.fleet.seed} {gen.name}")  # so that gateways don't all pick the same one
+        # After a failed connection, the server that reported last comes first.
+        failed = bool(gen.legs) and gen.legs[-1].outcome == "unreachable"
+        mean_share = self.fleet.peer_held_share(states[0].server.role if states else "writer", now)
+        other_zone = [state.server.zone != self.fleet.zone for state in states]
+        other_cell = other_zone if cell is None else [state.server.cell != cell for state in states]
+        penalties = (
+            (self.OTHER_CELL_PENALTY, self.OTHER_CELL_PENALTY + self.OTHER_ZONE_PENALTY)
+            if self.fleet.peer_held
+            else (self.BLIND_PENALTY, self.BLIND_PENALTY)
+        )
+        ranks = {
+            state: (
+                -state.reported_at * failed,
+                self.fleet.held_share(state, now, mean_share) + penalties[away] * far,
+            )
+            for state, away, far in zip(states, other_zone, other_cell)
         }
-        low = min(keys.values(), default=None)
+        lowest = min(ranks.values(), default=None)
         return min(
-            (one for one in keys if keys[one] == low), default=None, key=lambda one: mix_hashes(one.hash, by)
+            (state for state in ranks if ranks[state] == lowest),
+            default=None,
+            key=lambda state: mix_hashes(state.hash, tie_break),
         )
 
-    def take(self, now: Time, gen: Generation) -> None:
-        seat = self.planned_writers.get(gen)
+    def route(self, now: Time, gen: Generation) -> None:
+        """Sends to the planned writer, or to another if that may no longer be sent to."""
+        state = self.planned_writers.get(gen)
         if (
-            seat is None
-            or self.fleet.is_unhealthy(seat, now)
-            or not self.dispatcher.may_send(now, gen, seat.server)
+            state is None
+            or self.fleet.is_unhealthy(state, now)
+            or not self.dispatcher.may_send(now, gen, state.server)
         ):
-            seat = self.pick(now, gen, gen.legs[-1].server.cell if gen.legs else None)
-        if seat is not None:
-            self.send(now, gen, seat)
+            state = self.pick(now, gen, gen.legs[-1].server.cell if gen.legs else None)
+        if state is not None:
+            self.send(now, gen, state)
 
-    def send(self, now: Time, gen: Generation, seat: ServerState) -> None:
-        self.planned_writers.setdefault(gen, seat).drop(gen)
-        self.planned_writers[gen] = seat
-        tok, role = self.projected(gen), seat.server.role
-        seat.put(gen, tok)
-        seat.poured += tok
-        self.fleet.mean[role] += tok / max(1, len(self.fleet.by_role[role]))
-        again = gen.product.effect == "idempotent" and len(gen.legs) + 1 < self.dispatcher.max_legs
-        patience = max(self.LIMIT_FLOOR, int(self.LIMIT_TIMES * self.fleet.usual[role]))
-        self.dispatcher.send(now, gen, seat, patience if again else gen.deadline)
+    def send(self, now: Time, gen: Generation, state: ServerState) -> None:
+        """Sends to this writer, with a time limit that leaves time for another if the generation may be
+        repeated."""
+        self.planned_writers.setdefault(gen, state).remove(gen)
+        self.planned_writers[gen] = state
+        tok, role = self.projected_tok(gen), state.server.role
+        state.assign(gen, tok)
+        state.routed_tok += tok
+        self.fleet.routed_mean[role] += tok / max(1, len(self.fleet.by_role[role]))
+        repeatable = gen.product.effect == "idempotent" and len(gen.legs) + 1 < self.dispatcher.max_legs
+        limit = max(self.LIMIT_FLOOR, int(self.LIMIT_FACTOR * self.fleet.mean_wait[role]))
+        self.dispatcher.send(now, gen, state, limit if repeatable else gen.deadline)
 
-    def back(self, now: Time, leg: Leg, kept_tok: int, no_state: bool) -> bool:
+    def leg_ended(self, now: Time, leg: Leg, cached_tok: int, no_state: bool) -> bool:
+        """Sends to another writer if the KV state is still there. Whether a leg is in flight then."""
         gen = leg.gen
-        again = gen.product.effect == "idempotent" and len(gen.legs) + 2 <= self.dispatcher.max_legs
+        repeatable = gen.product.effect == "idempotent" and len(gen.legs) + 2 <= self.dispatcher.max_legs
+        # The KV state is gone, as the attempt may have fetched it, or would be released too soon. In the
+        # first case a generation that may be repeated is read again, which takes two legs.
         spent = (
-            again and leg.outcome not in NEVER_RAN or self.dispatcher.held_state.overdue(now, leg)
-        )  # gone, or held long
+            repeatable
+            and leg.outcome not in NEVER_RAN
+            or self.dispatcher.held_state.too_late_to_reconnect(now, leg)
+        )
         lost = gen.over or leg.server.role == "reader" or no_state or spent or gen.in_flight()
-        if not lost and any(one.outcome == "read" for one in gen.legs):
-            self.take(now, gen)
+        if not lost and any(attempt.outcome == "read" for attempt in gen.legs):
+            self.route(now, gen)
         return not lost and gen.in_flight()
--- a/stackpitch/rehearse/broken/gateways.py
+++ b/stackpitch/rehearse/broken/gateways.py
@@ -53,7 +53,7 @@
 
 def cold() -> None:
     """Every server is taken to be warm."""
-    Fleet.is_cold = lambda self, seat, now: False  # type: ignore[method-assign]
+    Fleet.is_cold = lambda self, state, now: False  # type: ignore[method-assign]
 
 
 def pinned() -> None:
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -74,7 +74,7 @@
 
 
 def test_an_exception_in_the_module_becomes_the_fault_message(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("stackpitch.brain.Reader.take", lambda *_: 1 // 0)
+    monkeypatch.setattr("stackpitch.brain.Reader.route", lambda *_: 1 // 0)
     assert play(START, [ASK])[1][0].startswith("FAULT ZeroDivisionError at ")
 
 
