--- a/stackpitch/brain/load.py
+++ b/stackpitch/brain/load.py
@@ -13,9 +13,8 @@
     # Time over which the mean shares follow what we hold; and for gossip messages: the integer that stands
     # for a share of 1.0, and the servers in a message at most.
     MEAN_SPAN, SHARE_SCALE, SERVERS_PER_MESSAGE = 3 * SECOND // 2, 100, 200
-    QUEUED_PROMPTS = (
-        2.0  # prompts assumed to be queued at a reader for each SLO time that our last leg waited
-    )
+    # Prompts assumed to be queued at a reader for each SLO time that our last leg there waited.
+    QUEUED_PROMPTS = 2.0
     # Time over which a report loses its weight to the mean of the server's role; and its weight in that mean.
     REPORT_LIFETIME, REPORT_WEIGHT = 6 * SECOND, 0.15
 
--- a/stackpitch/brain/server_state.py
+++ b/stackpitch/brain/server_state.py
@@ -44,9 +44,8 @@
         # For slow start: the server's start time, and the credit towards its next admission (1 admits).
         self.admission_credit: tuple[Time | None, float] = None, 0.0
         self.last_wait = 0.0, 0  # how long our last leg waited here, and when that was
-        self.admitted_gen: Generation | None = (
-            None  # the generation that may go here while the server is cold
-        )
+        # The generation that may go here while the server is cold.
+        self.admitted_gen: Generation | None = None
 
     def assign(self, gen: Generation, tok: int) -> None:
         """Counts a generation's tokens here, in place of an earlier count."""
@@ -102,7 +101,7 @@
             dict.fromkeys(self.by_role, 0.0),
             dict.fromkeys(self.by_role, 0.0),
         )
-        self.peer_held: dict[Role, float] = {}  # mean share that other gateways hold, by reports
+        self.peer_held: dict[Role, float] = {}  # mean share that others hold, by reports or gossip
         # Servers by the hash that gossip names them by; and the weight of a reader by its cell.
         self.by_hash, self.read_weights = dict[int, ServerState](), dict[int, float]()
         # The servers in the order that gossip lists them in, and the digest of that list.
--- a/tests/play.py
+++ b/tests/play.py
@@ -1,18 +1,18 @@
-"""Plays scenarios: small texts in the project's own notation, each line an input or an expectation.
+"""Plays scenarios against the decision module: texts in which each line is an input or an expectation.
 
-with max_legs=2 local_reads=0         arguments of the module, before anything else
+with max_legs=2 local_reads=0         settings of the module, before anything else
 fleet r1 r2 w1 m1                     readers, writers and mixed servers in one cell
-server w2 cell=2 zone=b memory=TOK started=MS      one with facts of its own, now or later
-list w1 draining | gone | ready started=MS         the list changes
+server w2 cell=2 zone=b memory=TOK started=MS      one server with its own facts, at the start or later
+list w1 draining | gone | ready started=MS         the roster changes
 at 120                                the clock, in ms
 gen a chat session=s shared=p prompt=2000 limit=200 gives_up=4000      chat, book or order, see PRODUCTS
-heard 1 knows a w2 tok=900 age=50      a peer's word on a's session, with its means; or asks, tells, unknown, junk
-probed w1 held=0.9 | probed w1          the answer to a probe, with a report or without
+heard 1 knows a w2 tok=900 age=50      gateway 1's message on a's session; or asks, tells, unknown, junk
+probed w1 held=0.9 | probed w1          the answer to a probe, with a load report or without
 start a | end a full no_state=1 | end a#0 read | end a streamed kept=9 | depart a | fail | wait
-> send a r1                           the next thing asked for; a scenario ends with nothing left
-read a chat r1 w1 prompt=2000         gen, read by r1, sent to w1
-each-second 30 chat r1 w1             so many, one a second, each read in 90 ms and streamed after 900
-turn a chat r1 w1 session=s           the same, started and streamed; with one server, by that alone
+> send a r1                           the module's next call; a scenario ends with none left
+read a chat r1 w1 prompt=2000         gen, then read at r1 and sent to w1
+each-second 30 chat r1 w1             30 of these, one a second, each read in 90 ms and streamed after 900
+turn a chat r1 w1 session=s           as `read`, then started and streamed; with one server, that does both
 """
 
 from pathlib import Path
@@ -48,15 +48,15 @@
         ("cheap", "idempotent", "all", 0.5),
     ]
 }
-WORDS = {b"?": "asks", b"!": "tells", b"=": "knows", b"-": "unknown"}
+MESSAGE_KINDS = {b"?": "asks", b"!": "tells", b"=": "knows", b"-": "unknown"}
 ROLES = {"r": "reader", "w": "writer", "m": "mixed"}
 
 
 class Play:
-    """A gateway that only notes what it is asked for."""
+    """A gateway that only records what the module asks for, and the commands of the notation (`do_`)."""
 
     def __init__(self) -> None:
-        self.now, self.asked, self.arguments, self.words = 0, [], dict(ARGUMENTS), []
+        self.now, self.asked, self.arguments, self.peer_messages = 0, [], dict(ARGUMENTS), []
         self.servers: dict[str, Server] = {}
         self.customers: dict[str | None, Customer | None] = {None: None}
         self.gens: dict[str, Generation] = {}
@@ -80,7 +80,7 @@
     def hold(self, gen, server):
         self.asked.append(f"hold {gen.name} {server.name}")
 
-    def release(self, gen, why):
+    def release(self, gen, reason):
         self.asked.append(f"release {gen.name}")
 
     def cancel(self, leg):
@@ -89,9 +89,9 @@
     def probe(self, server):
         self.asked.append(f"probe {server.name}")
 
-    def send_to_peer(self, peer, octets):
-        self.words.append(octets)
-        self.asked.append(f"tell {peer} {WORDS[octets[:1]]}")
+    def send_to_peer(self, peer, message):
+        self.peer_messages.append(message)
+        self.asked.append(f"tell {peer} {MESSAGE_KINDS[message[:1]]}")
 
     def subscribe(self):
         self.asked.append("subscribe")
@@ -102,9 +102,9 @@
     def log(self, text):
         pass
 
-    def _final(self, word, gen):
+    def _final(self, answer, gen):
         gen.over = True
-        self.asked.append(f"{word} {gen.name}")
+        self.asked.append(f"{answer} {gen.name}")
 
     def throttle(self, gen, retry_after):
         self._final("throttle", gen)
@@ -224,7 +224,10 @@
         self.brain.ended(self.now, leg, int(kept), no_state == "1", Report(float(held)) if held else None)
 
     def do_heard(self, peer, what, name="", server=None, tok="1000", age="0", held="0"):
-        brain, kind = self.brain, next((one for one, word in WORDS.items() if word == what), b"~")
+        brain, kind = (
+            self.brain,
+            next((code for code, name_of in MESSAGE_KINDS.items() if name_of == what), b"~"),
+        )
         entry = (
             brain.affinity_directory.ENTRY.pack(
                 brain.fleet.server_states[self.servers[server]].hash, int(tok), int(age)
@@ -255,25 +258,25 @@
         self.brain.roster_failed(self.now)
 
     def do_wait(self):
-        due = sorted((one for one in self.timers if one[0] <= self.now), key=lambda one: one[0])
-        self.timers = [one for one in self.timers if one[0] > self.now]
+        due = sorted((timer for timer in self.timers if timer[0] <= self.now), key=lambda timer: timer[0])
+        self.timers = [timer for timer in self.timers if timer[0] > self.now]
         for _, call in due:
             call(self.now)
 
     def do_expect(self, *words):
-        wanted = " ".join(words)
-        found = self.asked.pop(0) if self.asked else "nothing"
-        assert found == wanted, f"expected {wanted!r}, was asked {found!r}, then {self.asked}"
+        expected = " ".join(words)
+        actual = self.asked.pop(0) if self.asked else "nothing"
+        assert actual == expected, f"expected {expected!r}, was asked {actual!r}, then {self.asked}"
 
 
 def scenarios(folder: Path) -> list[tuple[str, list[str]]]:
-    """Every scenario of a folder: a line `= title`, then its lines; '#' starts a comment."""
-    found: list[tuple[str, list[str]]] = []
+    """The titles and lines of a folder's scenarios. A line `= title` begins one; '#' begins a comment."""
+    result: list[tuple[str, list[str]]] = []
     for path in sorted(folder.glob("*.txt")):
         for line in path.read_text().splitlines():
             line = line.partition("#  ")[0].strip()
             if line.startswith("= "):
-                found.append((f"{path.stem}: {line[2:]}", []))
+                result.append((f"{path.stem}: {line[2:]}", []))
             elif line:
-                found[-1][1].append(line)
-    return found
+                result[-1][1].append(line)
+    return result
--- a/tests/serving_model.py
+++ b/tests/serving_model.py
@@ -1,8 +1,8 @@
 """Decision modules of several gateways over simulated workers, with clients that hold sessions.
 
-Prefill workers read prompts one after another at a fixed pace; a session's earlier turns and shared prefixes aren't cached
-there. Decode workers answer after a fixed time plus what they have to read anew, and stream at the class's pace. All chance
-comes from one seed.
+Prefill workers read prompts one after another at a fixed rate; a session's earlier turns and shared prefixes
+aren't cached there. Decode workers start to stream after a fixed time, plus the time to read what they don't
+have, and then keep the product's token gap. All randomness comes from one seed.
 """
 
 from collections.abc import Callable
@@ -16,14 +16,16 @@
 
 MS, SECOND = 10, 10_000
 PREFILL_PACE = 15.0  # tokens a millisecond
-DECODE_PACE = 6.0  # the same, of a decode worker that reads the new part of a later turn
+DECODE_PACE = 6.0  # tokens a millisecond, of a decode worker that reads the new part of a later turn
 DECODE_START = 30 * MS
 CHAT = Product("chat", "idempotent", "all", 0, 1_000 * MS, 40 * MS, 60 * MS, 4_000 * MS, 1.0, 0.1)
 
 
 @dataclass(frozen=True)
 class Traffic:
-    """`load`: of what the prefill workers can read. `burst`: times that, in the middle fifth of the day."""
+    """`load`: share of what the prefill workers can read. `burst`: its multiple in the middle fifth of the
+    time. `think`: mean pause between a session's turns. The text of this object is part of the random seed.
+    """
 
     load: float
     burst: float = 1.0
@@ -31,47 +33,47 @@
     turns: int = 4
     think: Time = 2 * SECOND
     median_prompt: int = 1500
-    spread: float = 0.8  # of the prompts' logarithm
+    spread: float = 0.8  # standard deviation of the logarithm of prompt lengths
 
 
 @dataclass
 class Request:
-    """What became of one request."""
+    """One request and its result."""
 
     session: str
     prompt_tok: int
     arrived: Time
     gateway: int
-    ended: str = ""  # streamed, throttled, terminated, or left when its client gave up
+    ended: str = ""  # streamed, throttled, terminated, or left when its client has left
     first_token: Time | None = None
 
 
 @dataclass
 class Worker:
-    """`free`: when a prefill worker has read all that was sent to it."""
+    """`idle_at`: when a prefill worker has read all that was sent to it."""
 
-    free: Time = 0
+    idle_at: Time = 0
 
 
 @dataclass
 class Attempt:
-    """One that is out, and the request that it is for."""
+    """An attempt in flight."""
 
     leg: Leg
     number: int  # of the gateway
-    begun: bool = False
+    streaming: bool = False
 
 
 @dataclass
-class Day:
-    """What was seen. `attempts`: times of attempts by gateway."""
+class Results:
+    """What a run recorded. `attempts`: their times, by gateway."""
 
     requests: list[Request] = field(default_factory=list)
     attempts: dict[int, list[Time]] = field(default_factory=dict)
 
 
 class GatewayPort:
-    """What one module asks for."""
+    """The calls of one gateway's module."""
 
     def __init__(self, model: "ServingModel", number: int) -> None:
         self.model, self.number = model, number
@@ -80,43 +82,43 @@
         return self.model.send(self.number, gen, server, limit)
 
     def throttle(self, gen: Generation, retry_after: Time) -> None:
-        self.model.over(gen, "throttled")
+        self.model.finish(gen, "throttled")
 
     def terminate(self, gen: Generation) -> None:
-        self.model.over(gen, "terminated")
+        self.model.finish(gen, "terminated")
 
     def call_later(self, delay: Time, call: Callable[[Time], None]) -> None:
         self.model.at(self.model.now + delay, lambda: call(self.model.now))
 
     def cancel(self, leg: Leg) -> None: ...
-    def release(self, gen: Generation, why: ReleaseReason) -> None: ...
+    def release(self, gen: Generation, reason: ReleaseReason) -> None: ...
     def hold(self, gen: Generation, server: Server) -> None: ...
     def probe(self, server: Server) -> None: ...
     def move(self, gen: Generation) -> None: ...
-    def send_to_peer(self, peer: int, octets: bytes) -> None: ...
+    def send_to_peer(self, peer: int, message: bytes) -> None: ...
     def subscribe(self) -> None: ...
     def log(self, text: str) -> None: ...
 
 
 class ServingModel:
-    """One day. Requests of a session go to any gateway, as a front spreads connections."""
+    """One run. Requests of a session go to any gateway, as a load balancer in front spreads connections."""
 
     def __init__(self, traffic: Traffic, gateways: int, seed: int, prefill: int = 6, decode: int = 8) -> None:
-        self.traffic, self.random, self.now, self.tickets = (
+        self.traffic, self.random, self.now, self.event_count = (
             traffic,
             Random(f"{traffic} {gateways} {seed}"),
             0,
             0,
         )
         self.events: list[tuple[Time, int, Callable[[], None]]] = []
-        names = [("reader", f"p{one}") for one in range(prefill)] + [
-            ("writer", f"d{one}") for one in range(decode)
+        names = [("reader", f"p{index}") for index in range(prefill)] + [
+            ("writer", f"d{index}") for index in range(decode)
         ]
         self.workers = {name: Worker() for _, name in names}
         self.brains: list[Brain] = []
         self.servers: list[list[Server]] = []
-        self.of: dict[Generation, Request] = {}
-        self.day = Day()
+        self.requests_by_gen: dict[Generation, Request] = {}
+        self.results = Results()
         port: Any
         for number in range(gateways):
             port = GatewayPort(self, number)
@@ -142,10 +144,10 @@
         self.capacity = prefill * PREFILL_PACE / MS  # tokens a tick
 
     def at(self, when: Time, call: Callable[[], None]) -> None:
-        self.tickets += 1
-        heappush(self.events, (when, self.tickets, call))
+        self.event_count += 1
+        heappush(self.events, (when, self.event_count, call))
 
-    def play(self) -> Day:
+    def run(self) -> Results:
         traffic, end = self.traffic, self.traffic.seconds * SECOND
         mean_prompt = traffic.median_prompt * 2.718281828 ** (traffic.spread**2 / 2)
         rate = traffic.load * self.capacity / mean_prompt / traffic.turns  # sessions a tick
@@ -158,7 +160,7 @@
         while self.events:
             self.now, _, call = heappop(self.events)
             call()
-        return self.day
+        return self.results
 
     def session(self, when: Time, name: str) -> None:
         prompt = 0
@@ -187,51 +189,51 @@
             False,
             False,
         )
-        self.day.requests.append(request)
-        self.of[gen] = request
-        self.at(gen.deadline, lambda: self.gives_up(number, gen))
+        self.results.requests.append(request)
+        self.requests_by_gen[gen] = request
+        self.at(gen.deadline, lambda: self.client_leaves(number, gen))
         self.brains[number].arrived(self.now, gen)
 
-    def gives_up(self, number: int, gen: Generation) -> None:
-        if not gen.over and self.of[gen].first_token is None:
-            self.over(gen, "left")
+    def client_leaves(self, number: int, gen: Generation) -> None:
+        if not gen.over and self.requests_by_gen[gen].first_token is None:
+            self.finish(gen, "left")
             self.brains[number].departed(self.now, gen)
 
-    def over(self, gen: Generation, how: str) -> None:
+    def finish(self, gen: Generation, how: str) -> None:
         gen.over = True
-        self.of[gen].ended = how
+        self.requests_by_gen[gen].ended = how
 
     def send(self, number: int, gen: Generation, server: Server, limit: Time) -> Leg:
         leg = Leg(gen, len(gen.legs), server, self.now)
         gen.legs.append(leg)
-        self.day.attempts.setdefault(number, []).append(self.now)
+        self.results.attempts.setdefault(number, []).append(self.now)
         attempt = Attempt(leg, number)
-        done = self.reads(gen, server) if server.role == "reader" else self.answers(gen, server)
-        self.at(self.now + limit, lambda: self.times_out(attempt))
+        done = self.prefill_done(gen, server) if server.role == "reader" else self.decode_started(gen, server)
+        self.at(self.now + limit, lambda: self.time_out(attempt))
         self.at(done, lambda: self.done(attempt))
         return leg
 
-    def reads(self, gen: Generation, server: Server) -> Time:
+    def prefill_done(self, gen: Generation, server: Server) -> Time:
         worker = self.workers[server.name]
-        worker.free = max(self.now, worker.free) + int(gen.prompt_tok / PREFILL_PACE * MS) + 1
-        return worker.free
+        worker.idle_at = max(self.now, worker.idle_at) + int(gen.prompt_tok / PREFILL_PACE * MS) + 1
+        return worker.idle_at
 
     def pause(self, delay: Time) -> None:
-        """No prefill worker reads for so long."""
+        """No prefill worker reads for this time."""
         for worker in self.workers.values():
-            worker.free = max(self.now, worker.free) + delay
+            worker.idle_at = max(self.now, worker.idle_at) + delay
 
-    def answers(self, gen: Generation, server: Server) -> Time:
+    def decode_started(self, gen: Generation, server: Server) -> Time:
         fetched = any(leg.outcome == "read" for leg in gen.legs)
-        anew = 0 if fetched else min(gen.prompt_tok, 500)
-        return self.now + DECODE_START + int(anew / DECODE_PACE * MS)
+        uncached = 0 if fetched else min(gen.prompt_tok, 500)
+        return self.now + DECODE_START + int(uncached / DECODE_PACE * MS)
 
     def end(self, attempt: Attempt, outcome: Outcome) -> None:
         attempt.leg.outcome = outcome
         self.brains[attempt.number].ended(self.now, attempt.leg, 0, False, None)
 
-    def times_out(self, attempt: Attempt) -> None:
-        if attempt.leg.outcome is None and not attempt.begun:
+    def time_out(self, attempt: Attempt) -> None:
+        if attempt.leg.outcome is None and not attempt.streaming:
             self.end(attempt, "time-out")
 
     def done(self, attempt: Attempt) -> None:
@@ -243,11 +245,11 @@
         elif gen.over:
             self.end(attempt, "cancelled")
         else:
-            attempt.begun = leg.streaming = True
-            self.of[gen].first_token = self.now
+            attempt.streaming = leg.streaming = True
+            self.requests_by_gen[gen].first_token = self.now
             self.brains[attempt.number].stream_started(self.now, leg)
             self.at(self.now + 30 * CHAT.token_gap, lambda: self.streamed(attempt))
 
     def streamed(self, attempt: Attempt) -> None:
-        self.over(attempt.leg.gen, "streamed")
+        self.finish(attempt.leg.gen, "streamed")
         self.end(attempt, "streamed")
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""What is left out to decide faster changes no decision: whole plays with and without it, line by line."""
+"""Checking one candidate for all changes no decision: whole runs with and without the shortcut are equal."""
 
 import pytest
 
@@ -9,13 +9,15 @@
 
 
 def lines(name: str) -> list[str]:
-    found: list[str] = []
-    World(BY_NAME[name], 5, found.append).play(6)
-    return found
+    recorded: list[str] = []
+    World(BY_NAME[name], 5, recorded.append).play(6)
+    return recorded
 
 
 @pytest.mark.parametrize("name", ["reports", "peers-zones", "zones-mixed", "stormy"])
-def test_servers_asked_each_and_one_for_all_decide_alike(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_one_check_for_all_candidates_decides_like_a_check_of_each(
+    name: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     fast = lines(name)
     monkeypatch.setattr(Dispatcher, "UNIFORM_CHECK", False)
     assert len(fast) > 300 and lines(name) == fast
--- a/tests/test_fair_refusals.py
+++ b/tests/test_fair_refusals.py
@@ -1,81 +1,84 @@
-"""Whom admission refuses: by the moment and the request, never lastingly by session, prompt or gateway (simulated)."""
+"""Which requests admission refuses, simulated: never lastingly those of a session, a gateway or a length."""
 
 from collections import defaultdict
 from collections.abc import Callable
 from zlib import crc32
 
 import pytest
-from serving_model import SECOND, Day, Request, ServingModel, Traffic
+from serving_model import SECOND, Request, Results, ServingModel, Traffic
 
 from stackpitch.brain.admission import Admission
 from stackpitch.interface import Generation, Time
 
 QUIET = Traffic(load=0.55, burst=1.5)
 OVERLOAD = Traffic(load=1.4)
-STILL = 4 * SECOND  # a gateway that turns away all it gets for longer, while others serve, fails a quiet day
-MANY = 15  # requests that it has to have turned away in that time
+# A gateway is at fault that refuses all of at least so many requests, for at least this time, while others
+# serve.
+MIN_REFUSAL_TIME = 4 * SECOND
+MAX_REFUSED = 15
 
 
 def answered_share(requests: list[Request]) -> float:
-    return sum(one.first_token is not None for one in requests) / len(requests)
+    return sum(request.first_token is not None for request in requests) / len(requests)
 
 
 def largest_tenth(requests: list[Request]) -> list[Request]:
-    return sorted(requests, key=lambda one: one.prompt_tok)[-(len(requests) // 10) :]
+    return sorted(requests, key=lambda request: request.prompt_tok)[-(len(requests) // 10) :]
 
 
-def refused_throughout(day: Day) -> tuple[float, float]:
-    """The share of sessions of which all turns are refused, and what chance alone would give."""
+def refused_throughout(results: Results) -> tuple[float, float]:
+    """The share of sessions whose turns are all refused, and that expected of independent refusals."""
     sessions = defaultdict(list)
-    for one in day.requests:
-        sessions[one.session].append(one.first_token is None)
-    refused = sum(one.first_token is None for one in day.requests) / len(day.requests)
+    for request in results.requests:
+        sessions[request.session].append(request.first_token is None)
+    refused = sum(request.first_token is None for request in results.requests) / len(results.requests)
     by_chance = sum(refused ** len(turns) for turns in sessions.values()) / len(sessions)
     return sum(all(turns) for turns in sessions.values()) / len(sessions), by_chance
 
 
-def turned_away_on_end(day: Day, gateway: int) -> int:
-    """The most requests that a gateway turned away over `STILL` with no attempt in between."""
-    attempts, most = day.attempts.get(gateway, []), 0
-    times = [one.arrived for one in day.requests if one.gateway == gateway]
+def max_refused_in_a_row(results: Results, gateway: int) -> int:
+    """The most requests refused in a row, without any attempt, over `MIN_REFUSAL_TIME` or more."""
+    attempts, most = results.attempts.get(gateway, []), 0
+    times = [request.arrived for request in results.requests if request.gateway == gateway]
     for begin, end in zip([0, *attempts], [*attempts, 10**9], strict=True):
         inside = [when for when in times if begin < when < end]
-        if inside and inside[-1] - inside[0] >= STILL:
+        if inside and inside[-1] - inside[0] >= MIN_REFUSAL_TIME:
             most = max(most, len(inside))
     return most
 
 
 @pytest.mark.parametrize("gateways", [1, 5, 30])
-def test_a_quiet_day(gateways: int) -> None:
-    day = ServingModel(QUIET, gateways, seed=1).play()
-    assert answered_share(day.requests) > 0.9
-    assert answered_share(largest_tenth(day.requests)) >= 2 / 3 * answered_share(day.requests)
-    throughout, by_chance = refused_throughout(day)
+def test_a_quiet_run(gateways: int) -> None:
+    results = ServingModel(QUIET, gateways, seed=1).run()
+    assert answered_share(results.requests) > 0.9
+    assert answered_share(largest_tenth(results.requests)) >= 2 / 3 * answered_share(results.requests)
+    throughout, by_chance = refused_throughout(results)
     assert throughout <= by_chance + 0.12
-    assert not any(turned_away_on_end(day, one) >= MANY for one in range(gateways))
+    assert not any(max_refused_in_a_row(results, gateway) >= MAX_REFUSED for gateway in range(gateways))
 
 
 @pytest.mark.parametrize("gateways", [1, 5, 30])
-def test_an_overloaded_day(gateways: int) -> None:
-    day = ServingModel(OVERLOAD, gateways, seed=2).play()
-    share = answered_share(day.requests)
-    assert 0.3 < share < 0.95, "this is no overload, or nothing is served"
-    assert answered_share(largest_tenth(day.requests)) >= share / 2
-    throughout, by_chance = refused_throughout(day)
+def test_an_overloaded_run(gateways: int) -> None:
+    results = ServingModel(OVERLOAD, gateways, seed=2).run()
+    share = answered_share(results.requests)
+    assert 0.3 < share < 0.95, "the load is no overload, or nothing is served"
+    assert answered_share(largest_tenth(results.requests)) >= share / 2
+    throughout, by_chance = refused_throughout(results)
     assert throughout <= by_chance + 0.12
 
 
-def test_a_gateway_that_met_a_bad_moment_serves_again_with_the_others() -> None:
-    """No prompt is read for three seconds of a quiet day."""
+def test_a_gateway_serves_again_after_an_outage() -> None:
+    """Guards against a gateway that keeps refusing by what it measured in an outage: no prompt is read for
+    three seconds of a quiet run."""
     model = ServingModel(Traffic(load=0.4), gateways=5, seed=3)
     model.at(10 * SECOND, lambda: model.pause(3 * SECOND))
-    day = model.play()
-    after = [one for one in day.requests if one.arrived > 20 * SECOND]
+    results = model.run()
+    after = [request for request in results.requests if request.arrived > 20 * SECOND]
     assert answered_share(after) > 0.9
     for gateway in range(5):
-        mine = [one for one in after if one.gateway == gateway]
-        assert answered_share(mine) > 0.8, f"gateway {gateway}"
-        assert turned_away_on_end(day, gateway) < MANY
+        own = [request for request in after if request.gateway == gateway]
+        assert answered_share(own) > 0.8, f"gateway {gateway}"
+        assert max_refused_in_a_row(results, gateway) < MAX_REFUSED
 
 
 @pytest.mark.parametrize(
@@ -86,10 +89,10 @@
     ],
     ids=["by session", "by size"],
 )
-def test_lasting_refusals_are_seen(
+def test_lasting_refusals_are_detected(
     unfair: Callable[[Generation], bool], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """That the checks above can fail: refusals that go by the session's hash, or by the prompt's size alone."""
+    """The checks above can fail: with refusals by the session's hash, or by the prompt's length alone."""
 
     def sheds(admission: Admission, now: Time, gen: Generation, cost: float) -> bool:
         refused = unfair(gen)
@@ -98,7 +101,7 @@
         return refused
 
     monkeypatch.setattr(Admission, "sheds", sheds)
-    day = ServingModel(QUIET, 5, seed=1).play()
-    throughout, by_chance = refused_throughout(day)
-    large = answered_share(largest_tenth(day.requests)) / answered_share(day.requests)
+    results = ServingModel(QUIET, 5, seed=1).run()
+    throughout, by_chance = refused_throughout(results)
+    large = answered_share(largest_tenth(results.requests)) / answered_share(results.requests)
     assert throughout > by_chance + 0.12 or large < 2 / 3
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Plays every scenario file."""
+"""Plays every scenario file, and cases that need many servers."""
 
 from pathlib import Path
 
@@ -17,32 +17,33 @@
     for number, line in enumerate(lines, 1):
         try:
             play.line(line)
-        except AssertionError as wrong:
-            raise AssertionError(f"line {number}, {line!r}: {wrong}") from None
+        except AssertionError as error:
+            raise AssertionError(f"line {number}, {line!r}: {error}") from None
     assert not play.asked, f"also asked for: {play.asked}"
 
 
-def test_words_between_1024_gateways_tell_of_1024_servers() -> None:
+def test_gossip_between_1024_gateways_covers_1024_servers() -> None:
+    """Each message fits the limit of its size, so the servers are spread over several messages."""
     plays = [Play(), Play()]
     for number, play in enumerate(plays):
         play.line(f"with peers=1 gateways=1024 number={number}")
-        play.line("fleet " + " ".join(f"r{one} w{one}" for one in range(512)))
-    told, heard = (play.brain.fleet for play in plays)
-    for place, seat in enumerate(told.ordered):
-        seat.mean_share = place % 200 / 100 / 1024
-    words = [told.encode_means(0) for _ in range(6)]
-    heard.merge_means(0, words[0])
-    assert 0 < len(heard.peer_held) and max(len(word) for word in words) + 9 + 10 <= PEER_WORD
-    for word in words[1:]:
-        heard.merge_means(0, word)
-    assert [round(seat.mean_share * 1024 * 100) for seat in heard.ordered] == [
-        place % 200 for place in range(1024)
+        play.line("fleet " + " ".join(f"r{server} w{server}" for server in range(512)))
+    sender, receiver = (play.brain.fleet for play in plays)
+    for index, state in enumerate(sender.ordered):
+        state.mean_share = index % 200 / 100 / 1024
+    messages = [sender.encode_means(0) for _ in range(6)]
+    receiver.merge_means(0, messages[0])
+    assert 0 < len(receiver.peer_held) and max(len(message) for message in messages) + 9 + 10 <= PEER_WORD
+    for message in messages[1:]:
+        receiver.merge_means(0, message)
+    assert [round(state.mean_share * 1024 * 100) for state in receiver.ordered] == [
+        index % 200 for index in range(1024)
     ]
 
 
-def read_at(play: Play, name: str, text: str, session: str) -> str:
-    """The reader that it goes to; it is read and streamed at once."""
-    play.do_gen(name, "chat", shared=text, session=session)
+def read_at(play: Play, name: str, prefix: str, session: str) -> str:
+    """The name of the reader that a generation goes to. It is read and streamed at once."""
+    play.do_gen(name, "chat", shared=prefix, session=session)
     gen = play.gens[name]
     play.do_end(name, "read")
     play.do_start(name)
@@ -51,24 +52,26 @@
     return gen.legs[0].server.name
 
 
-def test_a_hot_text_is_spread_and_another_that_takes_its_place() -> None:
+def test_a_hot_prefix_is_spread_and_so_is_its_successor() -> None:
+    """A prefix of a third of all traffic needs several readers; once it is rare, one reader is enough."""
     play = Play()
-    play.line("fleet " + " ".join(f"r{one}" for one in range(60)) + " w1")
-    found = {}
+    play.line("fleet " + " ".join(f"r{server}" for server in range(60)) + " w1")
+    readers = {}
     for round, hot in enumerate(("old", "new")):
         for number in range(90):
-            where = read_at(
+            reader = read_at(
                 play, f"{hot}{number}", hot if number % 3 == 0 else f"text{number}.{round}", f"{hot}{number}"
             )
-            found.setdefault(hot if number % 3 == 0 else "", []).append(where)
+            readers.setdefault(hot if number % 3 == 0 else "", []).append(reader)
     for hot in ("old", "new"):
-        assert len(set(found[hot][-10:])) >= 5, "a third of all traffic is more than one reader bears"
+        assert len(set(readers[hot][-10:])) >= 5, "a third of all traffic is more than one reader can do"
     assert len({read_at(play, f"again{number}", "old", f"again{number}") for number in range(2)}) == 1, (
         "it is rare now"
     )
 
 
-def test_a_writer_planned_for_a_read_that_failed_is_let_go_of() -> None:
+def test_a_writer_planned_for_a_failed_read_holds_no_tokens() -> None:
+    """The next read plans another writer; the tokens projected for the first one must not stay counted."""
     play = Play()
     play.line("fleet r1 r2 r3 w1 w2 w3 w4")
     for number in range(12):
@@ -86,4 +89,4 @@
         )
         > 1
     )
-    assert [seat.own_tok for seat in play.brain.fleet.server_states.values()] == [0] * 7
+    assert [state.own_tok for state in play.brain.fleet.server_states.values()] == [0] * 7
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,7 @@
-"""What all gateways together send to cold servers: real `Fleet`s, simulated arrivals; more in `benchmarks.slow_start`."""
+"""What all gateways together send to cold servers, with real `Fleet`s and simulated arrivals.
+
+The simulation is that of `benchmarks.slow_start`.
+"""
 
 from math import sqrt
 
@@ -12,7 +15,7 @@
 BY_NAME = {case.name: case for case in CASES}
 GATEWAYS = (1, 2, 5, 20, 30, 230)
 WINDOWS = (SECOND, 2 * SECOND, 3 * SECOND)
-KINDS = [
+CASE_NAMES = [
     "one",
     "several",
     "small-N",
@@ -39,11 +42,11 @@
 ]
 
 
-def found(name: str, gateways: int, seeds: int) -> Found:
-    all_of = Found()
+def play_seeds(name: str, gateways: int, seeds: int) -> Found:
+    total = Found()
     for seed in range(seeds):
-        all_of.add(Cluster(BY_NAME[name], gateways, seed, SECOND).play())
-    return all_of
+        total.add(Cluster(BY_NAME[name], gateways, seed, SECOND).play())
+    return total
 
 
 @pytest.mark.parametrize(
@@ -62,11 +65,11 @@
         ("reader-among-mixed", 230, 0.1),
     ],
 )
-def test_cold_servers_bear_what_all_send_and_are_used(name: str, gateways: int, used: float) -> None:
-    """`used`: of what they may be sent; cold servers that get nothing cost service."""
-    all_of = found(name, gateways, 3)
-    assert all_of.worst <= 1, f"{all_of.windows_over} of {all_of.windows} windows pass the budget and chance"
-    assert all_of.sent / all_of.allowed > used
+def test_cold_servers_are_not_overloaded_and_are_used(name: str, gateways: int, used: float) -> None:
+    """`used`: the least share of what they may be sent; cold servers that get nothing are wasted."""
+    total = play_seeds(name, gateways, 3)
+    assert total.worst <= 1, f"{total.windows_over} of {total.windows} windows exceed the bound"
+    assert total.sent / total.allowed > used
 
 
 def test_the_bound_is_the_operators() -> None:
@@ -77,9 +80,9 @@
 
 
 @pytest.mark.parametrize("gateways", GATEWAYS)
-@pytest.mark.parametrize("name", KINDS)
+@pytest.mark.parametrize("name", CASE_NAMES)
 def test_all_gateways_together_keep_the_operators_bound(name: str, gateways: int) -> None:
-    """However few or many they are, in windows of each length."""
+    """For few and for many gateways, in windows of each length."""
     cluster = Cluster(BY_NAME[name], gateways, 11, SECOND)
     cluster.play()
     for window in WINDOWS:
@@ -101,16 +104,18 @@
     ],
 )
 def test_the_few_that_are_left_or_come_back_cold_are_used(name: str, gateways: int, used: float) -> None:
-    all_of = found(name, gateways, 2)
-    assert all_of.sent / all_of.allowed > used
+    total = play_seeds(name, gateways, 2)
+    assert total.sent / total.allowed > used
 
 
-def looked_up(number: int, gateways: int, warm: int, cold: list[str], started: int, times: int = 1) -> Fleet:
-    """A gateway with its first list, after so many generations."""
+def fleet_after_lookups(
+    number: int, gateways: int, warm: int, cold: list[str], started: int, times: int = 1
+) -> Fleet:
+    """The fleet of a gateway that has its first roster, after `times` lookups."""
     fleet = fleet_of(number, gateways, 0.3, 13 * SECOND, 3.0)
     fleet.update(
         0,
-        [Server(f"r{one}", "a", "k", 1, "reader", 1000) for one in range(warm)]
+        [Server(f"r{index}", "a", "k", 1, "reader", 1000) for index in range(warm)]
         + [Server(name, "a", "k", 1, "reader", 1000, started=started) for name in cold],
         True,
     )
@@ -123,31 +128,33 @@
     return fleet
 
 
-def test_gateways_spread_their_turns_though_each_states_a_start_by_its_own_clock() -> None:
+def test_gateways_spread_their_admissions_though_their_clocks_differ() -> None:
     counts = set()
-    for name in (f"c{one}" for one in range(12)):
-        fleets = [looked_up(number, 200, 4, [name], number * 7 % 21 - SECOND) for number in range(200)]
+    for name in (f"c{index}" for index in range(12)):
+        fleets = [
+            fleet_after_lookups(number, 200, 4, [name], number * 7 % 21 - SECOND) for number in range(200)
+        ]
         counts.add(
-            sum(one.admitted_gen is not None for fleet in fleets for one in fleet.server_states.values())
+            sum(state.admitted_gen is not None for fleet in fleets for state in fleet.server_states.values())
         )
     assert max(counts) - min(counts) <= 1
 
 
-def test_a_restarted_gateway_that_finds_all_cold_takes_them_to_have_been_warm_and_little_to_be_done() -> None:
-    cold = [f"c{one}" for one in range(10)]
+def test_a_restarted_gateway_that_finds_all_servers_cold_admits_little() -> None:
+    cold = [f"c{index}" for index in range(10)]
     once, twice = (
-        next(iter(looked_up(0, 30, 0, cold, 0, times).server_states.values())).admission_credit[1]
+        next(iter(fleet_after_lookups(0, 30, 0, cold, 0, times).server_states.values())).admission_credit[1]
         for times in (1, 2)
     )
     assert 0.01 < (twice - once) % 1 < 0.02
 
 
 class Gateway:
-    """One that looked up generations at 40 warm readers, until all but one cold one go."""
+    """A gateway that did lookups among 40 warm readers, until all are replaced by a single cold one."""
 
     def __init__(self, every: Time, lookups: int, done: int) -> None:
         self.fleet = fleet_of(0, 230, 0.3, 60 * SECOND, 3.0)
-        warm = [Server(f"r{one}", "a", "k", 1, "reader", 1000) for one in range(40)]
+        warm = [Server(f"r{index}", "a", "k", 1, "reader", 1000) for index in range(40)]
         self.fleet.update(0, warm, True)
         self.now = 0
         for _ in range(lookups):
@@ -171,8 +178,8 @@
             self.fleet.server_states[server], self.now, Leg(self.generation(), 0, server, self.now)
         )
 
-    def part(self, wait: Time) -> float:
-        """Of its lookups that goes to the cold server."""
+    def cold_share(self, wait: Time) -> float:
+        """The share of its lookups that goes to the cold server."""
         self.now += wait
         self.look_up()
         before = self.fleet.server_states[self.cold].admission_credit[1]
@@ -180,18 +187,19 @@
         return (self.fleet.server_states[self.cold].admission_credit[1] - before) % 1
 
 
-FAIR = 0.6 * 3.0 * 0.3 / 40  # what a warm server was known to do, by what a cold one may be sent of it
+# Share of the work that a warm server did, times what a cold one may be sent of that.
+FAIR = 0.6 * 3.0 * 0.3 / 40
 
 
-def test_a_gateway_with_few_lookups_remembers_what_one_server_bore() -> None:
+def test_a_gateway_with_few_lookups_remembers_how_much_a_server_did() -> None:
     gateway = Gateway(5 * SECOND, 20, 1)
-    assert 0.7 * FAIR < gateway.part(5 * SECOND) < 1.5 * FAIR
-    assert 0.7 * FAIR < gateway.part(5 * SECOND) < 1.5 * FAIR
+    assert 0.7 * FAIR < gateway.cold_share(5 * SECOND) < 1.5 * FAIR
+    assert 0.7 * FAIR < gateway.cold_share(5 * SECOND) < 1.5 * FAIR
 
 
-def test_owners_turns_that_are_not_looked_up_make_no_server_seem_to_bear_more() -> None:
-    assert Gateway(SECOND, 60, 50).part(0) < 1.5 * FAIR
+def test_later_turns_sent_without_a_lookup_do_not_raise_what_a_server_seems_to_do() -> None:
+    assert Gateway(SECOND, 60, 50).cold_share(0) < 1.5 * FAIR
 
 
-def test_a_gateway_that_has_seen_no_lookup_takes_few_cold_servers_for_the_rest_of_many() -> None:
-    assert Gateway(SECOND, 0, 0).part(0) < 0.3 * 0.6 * 3.0 * 0.3
+def test_a_gateway_without_lookups_assumes_that_few_cold_servers_are_left_of_many() -> None:
+    assert Gateway(SECOND, 0, 0).cold_share(0) < 0.3 * 0.6 * 3.0 * 0.3
--- a/tests/traffic.py
+++ b/tests/traffic.py
@@ -1,21 +1,23 @@
-"""Traffic for scenarios: readers with a queue and a memory, writers that report what they hold, in made-up time.
-
-    traffic 200 chat openings=40 opening=4000 prompt=4500 every=20      so many, one each 20 ms, each a session of its own,
-                                          over so many openings, drawn evenly; chat,order and prompt=500,5000*3 take turns
-    traffic 200 chat openings=40 hot=x    the same, every third with one opening of this name
-    holds w1 0.9                          what others hold there; reported with each answer that it writes
-    forget r1                             it loses what it kept, and nothing shows it
-    > kept 0.9                            part of the openings' tokens found kept in the last traffic, at least
-    > most 0.4                            part of the last traffic's reads at the reader that got most, at most
-    > refused 0 5                         throttled of the last traffic, at least and at most
-    > in-time order 0.95                  part of a product's that had its first token within its SLO time, at least
-    > full 1.0                            projected share of any writer's memory in the last traffic, at most
-    > tries 1.05                          reads for each that was read, at most
-    > settled                             openings moved to readers that are new, or away from such as are gone; no others did
-    > given a 3400                        time that its newest leg was given, in ms, at least
-
-A reader reads 20 tokens a ms, one prompt after the other, also those that were given up. What it kept longest is pushed out.
-A writer starts 20 ms after it is sent to and takes half of the token gap for each of 0.4 of the limit.
+"""Traffic for scenarios, in simulated time: readers with a queue and a prefix cache, writers with reports.
+
+    traffic 200 chat openings=40 opening=4000 prompt=4500 every=20
+                              200 requests, one each 20 ms, each a session of its own, over 40 shared prefixes
+                              of 4,000 tokens, drawn evenly; chat,order and prompt=500,5000*3 take turns
+    traffic 200 chat openings=40 hot=x    the same, every third with the one prefix of this name
+    holds w1 0.9              share of its memory that other gateways hold; part of each report of that server
+    forget r1                 its cache is emptied without a sign
+    > kept 0.9                share of the prefix tokens that were cached in the last traffic, at least
+    > most 0.4                share of the last traffic's reads at the reader that got most, at most
+    > refused 0 5             requests of the last traffic throttled, at least and at most
+    > in-time order 0.95      share of a product's that had its first token within the SLO time, at least
+    > full 1.0                projected share of any writer's memory in the last traffic, at most
+    > tries 1.05              reads for each request that was read, at most
+    > settled                 prefixes moved only to readers that are new or from readers that are gone
+    > given a 3400            time limit of its newest leg, in ms, at least
+
+A reader reads 20 tokens a ms, one prompt after the other, also those whose legs have ended; its cache evicts
+the least recently used. A writer starts 20 ms after a request is sent to it and takes half of the token gap
+for each of the tokens, 0.4 of the limit.
 """
 
 from collections import Counter, OrderedDict
@@ -28,58 +30,63 @@
 
 from stackpitch.interface import MS, Generation, Leg, Report, Server, Time
 
-PACE, START, GROWTH, PATIENCE = 20, 20 * MS, 0.4, 9000 * MS
+# Tokens a ms of a reader; time until a writer starts; share of the output limit written; clients' time limit.
+READ_RATE, START_DELAY, OUTPUT_SHARE, PATIENCE = 20, 20 * MS, 0.4, 9000 * MS
 
 
 def turns(text: str) -> list[str]:
     """`a,b*3`: a, then b three times, and so on."""
     parts = [part.partition("*") for part in text.split(",")]
-    return [one for one, _, times in parts for _ in range(int(times or 1))]
+    return [name for name, _, times in parts for _ in range(int(times or 1))]
 
 
 class Traffic(Play):
+    """A play whose servers answer by themselves."""
+
     def __init__(self) -> None:
         super().__init__()
         self.events: list[tuple[Time, int, str, Leg]] = []
-        self.numbers, self.serial, self.draw = count(), 0, Random(7)
-        self.free: dict[Server, Time] = {}  # when a reader has read all that it was sent
-        self.memory: dict[Server, OrderedDict[str, int]] = {}
-        self.others: dict[str, float] = {}
-        self.held: Counter[Server] = Counter()  # tokens, by the answers' projected lengths
+        self.tickets, self.serial, self.random = count(), 0, Random(7)
+        self.idle_at: dict[Server, Time] = {}  # when a reader has read all that was sent to it
+        self.caches: dict[Server, OrderedDict[str, int]] = {}
+        self.peer_shares: dict[str, float] = {}
+        self.held_tok: Counter[Server] = Counter()  # tokens, with the projected length of the output
         self.limits: dict[Leg, Time] = {}
-        self.finds: dict[Leg, int] = {}
-        self.places: dict[str, set[str]] = {}
+        self.cached_tok: dict[Leg, int] = {}
+        self.readers_by_prefix: dict[str, set[str]] = {}
         self.clear()
 
     def clear(self) -> None:
-        self.crowd: list[Generation] = []
-        self.first: dict[Generation, Time] = {}
+        self.generations: list[Generation] = []
+        self.first_tokens: dict[Generation, Time] = {}
         self.reads: list[tuple[Generation, Server]] = []
-        self.found = self.openings = 0
+        self.found_tok = self.prefix_tok = 0
         self.fullest = 0.0
 
-    # What the module asks for.
+    # The module's calls.
 
     def send(self, gen: Generation, server: Server, limit: Time) -> Leg:
         leg = super().send(gen, server, limit)
         self.limits[leg] = limit
-        if gen not in self.crowd:
+        if gen not in self.generations:
             return leg
         if server.role == "reader":
             self.reads.append((gen, server))
-            kept = self.look(gen, server)
-            self.finds[leg] = kept
-            done = self.free[server] = (
-                max(self.now, self.free.get(server, 0)) + (gen.prompt_tok - kept) * MS // PACE
+            cached = self.look_up(gen, server)
+            self.cached_tok[leg] = cached
+            done = self.idle_at[server] = (
+                max(self.now, self.idle_at.get(server, 0)) + (gen.prompt_tok - cached) * MS // READ_RATE
+            )
+            self.schedule(
+                *((done, "read") if done <= self.now + limit else (self.now + limit, "time-out")), leg
             )
-            self.later(*((done, "read") if done <= self.now + limit else (self.now + limit, "time-out")), leg)
         else:
-            tok = gen.prompt_tok + int(GROWTH * gen.max_output_tok)
-            self.held[server] += tok
+            tok = gen.prompt_tok + int(OUTPUT_SHARE * gen.max_output_tok)
+            self.held_tok[server] += tok
             self.fullest = max(self.fullest, self.share(server))
-            self.later(self.now + START, "start", leg)
-            self.later(
-                self.now + START + int(GROWTH * gen.max_output_tok) * gen.product.token_gap // 2,
+            self.schedule(self.now + START_DELAY, "start", leg)
+            self.schedule(
+                self.now + START_DELAY + int(OUTPUT_SHARE * gen.max_output_tok) * gen.product.token_gap // 2,
                 "streamed",
                 leg,
             )
@@ -87,25 +94,25 @@
 
     def cancel(self, leg: Leg) -> None:
         super().cancel(leg)
-        self.later(self.now, "cancelled", leg)
+        self.schedule(self.now, "cancelled", leg)
 
-    def later(self, when: Time, what: str, leg: Leg) -> None:
-        heappush(self.events, (when, next(self.numbers), what, leg))
+    def schedule(self, when: Time, what: str, leg: Leg) -> None:
+        heappush(self.events, (when, next(self.tickets), what, leg))
 
-    def look(self, gen: Generation, server: Server) -> int:
-        """Tokens that it finds kept; what it reads is kept from now on."""
-        memory = self.memory.setdefault(server, OrderedDict())
-        kept = gen.shared_tok if gen.shared in memory else 0
-        self.found, self.openings = self.found + kept, self.openings + gen.shared_tok
+    def look_up(self, gen: Generation, server: Server) -> int:
+        """Prefix tokens that are cached; what the server reads is cached from now on."""
+        cache = self.caches.setdefault(server, OrderedDict())
+        cached = gen.shared_tok if gen.shared in cache else 0
+        self.found_tok, self.prefix_tok = self.found_tok + cached, self.prefix_tok + gen.shared_tok
         for key, tok in ((gen.shared, gen.shared_tok), (gen.session, gen.prompt_tok - gen.shared_tok)):
-            memory[key or ""] = tok
-            memory.move_to_end(key or "")
-        while sum(memory.values()) > server.memory_tok and len(memory) > 2:
-            memory.popitem(last=False)
-        return kept
+            cache[key or ""] = tok
+            cache.move_to_end(key or "")
+        while sum(cache.values()) > server.memory_tok and len(cache) > 2:
+            cache.popitem(last=False)
+        return cached
 
     def share(self, server: Server) -> float:
-        return self.others.get(server.name, 0.0) + self.held[server] / server.memory_tok
+        return self.peer_shares.get(server.name, 0.0) + self.held_tok[server] / server.memory_tok
 
     def run(self, until: Time | None) -> None:
         while self.events and (until is None or self.events[0][0] <= until):
@@ -113,18 +120,18 @@
             if leg.outcome is not None:
                 continue
             if what == "start":
-                self.first.setdefault(leg.gen, self.now)
+                self.first_tokens.setdefault(leg.gen, self.now)
                 leg.streaming = True
                 self.brain.stream_started(self.now, leg)
                 continue
             leg.outcome = what  # type: ignore[assignment]
             leg.gen.over = leg.gen.over or what == "streamed"
             if leg.server.role == "writer":
-                self.held[leg.server] -= leg.gen.prompt_tok + int(GROWTH * leg.gen.max_output_tok)
-            report = Report(self.share(leg.server)) if leg.server.name in self.others else None
-            self.brain.ended(self.now, leg, self.finds.pop(leg, 0), False, report)
+                self.held_tok[leg.server] -= leg.gen.prompt_tok + int(OUTPUT_SHARE * leg.gen.max_output_tok)
+            report = Report(self.share(leg.server)) if leg.server.name in self.peer_shares else None
+            self.brain.ended(self.now, leg, self.cached_tok.pop(leg, 0), False, report)
 
-    # Lines.
+    # Commands.
 
     def do_traffic(
         self,
@@ -137,56 +144,61 @@
         limit: str = "100",
         hot: str | None = None,
     ) -> None:
-        before = {text: set(where) for text, where in self.places.items()}
+        before = {prefix: set(readers) for prefix, readers in self.readers_by_prefix.items()}
         self.clear()
         names, prompts, begin = turns(products), turns(prompt), self.now
-        for place in range(int(number)):
-            self.run(begin + int(float(every) * MS) * place)
-            self.now = begin + int(float(every) * MS) * place
+        for index in range(int(number)):
+            self.run(begin + int(float(every) * MS) * index)
+            self.now = begin + int(float(every) * MS) * index
             self.serial += 1
-            name, text = f"t{self.serial}", str(self.draw.randrange(int(openings))) if int(openings) else None
-            text = hot if hot is not None and place % 3 == 0 else text
-            of: dict[str, Any] = {
+            name, prefix = (
+                f"t{self.serial}",
+                str(self.random.randrange(int(openings))) if int(openings) else None,
+            )
+            prefix = hot if hot is not None and index % 3 == 0 else prefix
+            options: dict[str, Any] = {
                 "session": f"of {name}",
-                "prompt": prompts[place % len(prompts)],
+                "prompt": prompts[index % len(prompts)],
                 "limit": limit,
             }
-            gen = self.made_of(name, names[place % len(names)], text, int(opening), of)
-            self.crowd.append(gen)
+            gen = self.make_generation(name, names[index % len(names)], prefix, int(opening), options)
+            self.generations.append(gen)
             self.brain.arrived(self.now, gen)
         self.run(None)
-        assert all(gen.over for gen in self.crowd), "some have no answer"
+        assert all(gen.over for gen in self.generations), "some have no answer"
         self.asked.clear()
-        self.before, self.places = before, {}
+        self.readers_before, self.readers_by_prefix = before, {}
         for gen, server in self.reads:
-            self.places.setdefault(gen.shared or "", set()).add(server.name)
+            self.readers_by_prefix.setdefault(gen.shared or "", set()).add(server.name)
 
-    def made_of(self, name: str, product: str, text: str | None, size: int, of: dict[str, Any]) -> Generation:
+    def make_generation(
+        self, name: str, product: str, prefix: str | None, prefix_tok: int, options: dict[str, Any]
+    ) -> Generation:
         self.gens[name] = gen = self.generation(
             name,
             product,
-            shared=None if text is None else f"opening {text}",
+            shared=None if prefix is None else f"opening {prefix}",
             gives_up=(self.now + PATIENCE) // MS,
-            **of,
+            **options,
         )
-        gen.shared_tok = size if gen.shared is not None else 0
+        gen.shared_tok = prefix_tok if gen.shared is not None else 0
         return gen
 
     def do_holds(self, server: str, share: str) -> None:
-        self.others[server] = float(share)
+        self.peer_shares[server] = float(share)
 
     def do_forget(self, server: str) -> None:
-        self.memory[self.servers[server]].clear()
+        self.caches[self.servers[server]].clear()
 
-    # What is expected.
+    # Expectations.
 
     def do_expect(self, *words: str) -> None:
         check = getattr(self, "expect_" + words[0].replace("-", "_"), None)
         check(*words[1:]) if check is not None else super().do_expect(*words)
 
     def expect_kept(self, least: str) -> None:
-        assert self.found >= float(least) * self.openings, (
-            f"{self.found} of {self.openings} tokens were found kept"
+        assert self.found_tok >= float(least) * self.prefix_tok, (
+            f"{self.found_tok} of {self.prefix_tok} prefix tokens were cached"
         )
 
     def expect_most(self, most: str) -> None:
@@ -194,13 +206,13 @@
         assert max(counts.values()) <= float(most) * len(self.reads), f"reads by reader: {counts}"
 
     def expect_refused(self, least: str, most: str) -> None:
-        refused = sum(not gen.legs for gen in self.crowd)
+        refused = sum(not gen.legs for gen in self.generations)
         assert int(least) <= refused <= int(most), f"{refused} were refused unsent"
 
     def expect_in_time(self, product: str, least: str) -> None:
-        mine = [gen for gen in self.crowd if gen.product.name == product]
-        good = sum(self.first.get(gen, gen.deadline) - gen.arrived <= gen.slo() for gen in mine)
-        assert good >= float(least) * len(mine), f"{good} of {len(mine)} were in time"
+        requests = [gen for gen in self.generations if gen.product.name == product]
+        in_time = sum(self.first_tokens.get(gen, gen.deadline) - gen.arrived <= gen.slo() for gen in requests)
+        assert in_time >= float(least) * len(requests), f"{in_time} of {len(requests)} were in time"
 
     def expect_full(self, most: str) -> None:
         assert self.fullest <= float(most), f"a writer's projected share came to {self.fullest:.2f}"
@@ -210,11 +222,13 @@
         assert len(self.reads) <= float(most) * len(read), f"{len(self.reads)} reads for {len(read)}"
 
     def expect_settled(self) -> None:
-        there = {name for name, one in self.servers.items() if one.state == "ready"}
-        old = {name for where in self.before.values() for name in where}
-        for text, where in self.places.items():
-            stayed = self.before.get(text, set()) & there
-            assert not stayed or where <= stayed | (there - old), f"{text} went from {stayed} to {where}"
+        ready = {name for name, server in self.servers.items() if server.state == "ready"}
+        known = {name for readers in self.readers_before.values() for name in readers}
+        for prefix, readers in self.readers_by_prefix.items():
+            stayed = self.readers_before.get(prefix, set()) & ready
+            assert not stayed or readers <= stayed | (ready - known), (
+                f"{prefix} went from {stayed} to {readers}"
+            )
 
     def expect_given(self, name: str, least: str) -> None:
         given = self.limits[self.leg(name)] // MS
