--- a/stackpitch/benchlink/__init__.py
+++ b/stackpitch/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the decision module and the bench's wire."""
+"""The simulator adapter: connects the decision module to the line protocol of a simulator."""
--- a/stackpitch/benchlink/__main__.py
+++ b/stackpitch/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""Plays the bench's wire on standard input and output."""
+"""Runs the simulator adapter on standard input and output."""
 
 import sys
 
@@ -8,7 +8,7 @@
 if __name__ == "__main__":
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except WireError as wrong:
-        sys.exit(f"benchlink: {wrong}")
+    except WireError as error:
+        sys.exit(f"benchlink: {error}")
     except (BrokenPipeError, KeyboardInterrupt):
         sys.exit(1)
--- a/stackpitch/benchlink/codec.py
+++ b/stackpitch/benchlink/codec.py
@@ -1,4 +1,7 @@
-"""The wire's lines: what each holds, and how a value is read. Knows nothing of the module."""
+"""Parses the lines of the simulator's protocol: one message a line, its fields separated by spaces.
+
+Independent of the decision module.
+"""
 
 import base64
 import binascii
@@ -7,18 +10,18 @@
 from collections.abc import Callable, Iterator
 from typing import Any, BinaryIO
 
-from stackpitch.plausible import number
+from stackpitch.plausible import parse_number
 
 
 class WireError(Exception):
-    """Input that the wire does not allow; its text names line and field."""
+    """Input that violates the simulator's protocol; the message names the line and the field."""
 
 
 class BadField(Exception):
-    """A value that reads well but has no meaning there; its text is the field's name."""
+    """A well-formed value that is invalid in its context; the message is the field's name."""
 
 
-def _number(text: str) -> float:
+def _finite_number(text: str) -> float:
     value = float(text)
     if not math.isfinite(value):
         raise ValueError
@@ -26,12 +29,12 @@
 
 
 def _ticks(text: str) -> int:
-    """Milliseconds as whole tenths, never rounded up."""
-    return math.floor(_number(text) * 10 + 1e-6)
+    """Milliseconds to whole tenths of a millisecond, never rounded up."""
+    return math.floor(_finite_number(text) * 10 + 1e-6)
 
 
 def _count(text: str) -> int:
-    value = _number(text)
+    value = _finite_number(text)
     if value < 0:
         raise ValueError
     return int(value)
@@ -43,139 +46,141 @@
     return text == "1"
 
 
-def _key(text: str) -> str:
+def _hex_key(text: str) -> str:
     if len(text) != 16 or not text.isalnum():
         raise ValueError
     int(text, 16)
     return text
 
 
-def _word(text: str) -> str:
+def _nonempty(text: str) -> str:
     if not text:
         raise ValueError
     return text
 
 
-def _object(text: str) -> dict[str, Any]:
+def _json_object(text: str) -> dict[str, Any]:
     value = json.loads(text)
     if not isinstance(value, dict):
         raise ValueError
     return value
 
 
-def _pairs(text: str) -> dict[str, float]:
-    """A server's own figures, as told; which of them can be is judged by whoever uses them."""
-    return {name: number(value) for name, value in (pair.split(":") for pair in text.split(","))}
+def _load_figures(text: str) -> dict[str, float]:
+    """Load figures as the server reports them; `PlausibilityFilter` drops impossible values later."""
+    return {name: parse_number(value) for name, value in (pair.split(":") for pair in text.split(","))}
 
 
-def _octets(text: str) -> bytes:
+def _base64(text: str) -> bytes:
     try:
         return base64.b64decode(text, validate=True)
-    except binascii.Error as wrong:
-        raise ValueError from wrong
+    except binascii.Error as error:
+        raise ValueError from error
 
 
-Field = tuple[str, Callable[[str], Any], bool]  # name, reader, whether it may be absent
+Field = tuple[str, Callable[[str], Any], bool]  # name, parser, whether the value may be absent ("-")
 
 
-def _need(name: str, read: Callable[[str], Any]) -> Field:
-    return name, read, False
+def _required(name: str, parse: Callable[[str], Any]) -> Field:
+    return name, parse, False
 
 
-def _may(name: str, read: Callable[[str], Any]) -> Field:
-    return name, read, True
+def _optional(name: str, parse: Callable[[str], Any]) -> Field:
+    return name, parse, True
 
 
 FIELDS: dict[str, tuple[Field, ...]] = {
-    "BATCH": (_need("clock", _ticks), _need("batch", _count)),
+    "BATCH": (_required("clock", _ticks), _required("batch", _count)),
     "EOF_BATCH": (),
-    "SWITCH_TO": (_need("who", _count),),
-    "PROVISION": (_need("randomSeed", int), _need("config", _object)),
-    "ROSTER_CHANGE": (_need("how", _word), _may("seqNo", _count), _need("members", _count)),
+    "SWITCH_TO": (_required("who", _count),),
+    "PROVISION": (_required("randomSeed", int), _required("config", _json_object)),
+    "ROSTER_CHANGE": (_required("how", _nonempty), _optional("seqNo", _count), _required("members", _count)),
     "ROW": (
-        _need("server", _word),
-        _need("hall", _word),
-        _need("hw", _word),
-        _need("stripe", _count),
-        _need("availability", _word),
-        _may("powerHint", _number),
-        _may("launchedMs", _ticks),
+        _required("server", _nonempty),
+        _required("hall", _nonempty),
+        _required("hw", _nonempty),
+        _required("stripe", _count),
+        _required("availability", _nonempty),
+        _optional("powerHint", _finite_number),
+        _optional("launchedMs", _ticks),
     ),
     "INGRESS": (
-        _need("id", _key),
-        _may("againByClient", _bool),
-        _may("prefixLen", _count),
-        _need("type", _word),
-        _need("nPrompt", _count),
-        _may("thread", _key),
-        _need("giveUpAtMs", _ticks),
-        _may("systemPrompt", _key),
-        _may("again", _bool),
-        _may("outputCap", _count),
-        _may("customer", _word),
-        _may("expectedMs", _ticks),
+        _required("id", _hex_key),
+        _optional("againByClient", _bool),
+        _optional("prefixLen", _count),
+        _required("type", _nonempty),
+        _required("nPrompt", _count),
+        _optional("thread", _hex_key),
+        _required("giveUpAtMs", _ticks),
+        _optional("systemPrompt", _hex_key),
+        _optional("again", _bool),
+        _optional("outputCap", _count),
+        _optional("customer", _nonempty),
+        _optional("expectedMs", _ticks),
     ),
     "COMPLETED": (
-        _need("id", _key),
-        _need("copy", _count),
-        _need("server", _word),
-        _need("disposition", _word),
-        _may("waitTimeMs", _ticks),
-        _may("over", _bool),
-        _may("detail", number),
-        _may("usage", _pairs),
+        _required("id", _hex_key),
+        _required("copy", _count),
+        _required("server", _nonempty),
+        _required("disposition", _nonempty),
+        _optional("waitTimeMs", _ticks),
+        _optional("over", _bool),
+        _optional("detail", parse_number),
+        _optional("usage", _load_figures),
     ),
     "CRASH_NOW": (),
     "CHECK_RESULT": (
-        _need("disposition", _word),
-        _may("waitTimeMs", _ticks),
-        _need("server", _word),
-        _may("usage", _pairs),
+        _required("disposition", _nonempty),
+        _optional("waitTimeMs", _ticks),
+        _required("server", _nonempty),
+        _optional("usage", _load_figures),
     ),
     "SEAT_NEWS": (
-        _need("id", _key),
-        _need("kind", _count),
-        _may("value", _number),
-        _need("server", _word),
-        _may("copy", _count),
+        _required("id", _hex_key),
+        _required("kind", _count),
+        _optional("value", _finite_number),
+        _required("server", _nonempty),
+        _optional("copy", _count),
     ),
-    "REMINDER": (_need("keyBack", _count),),
-    "LEFT": (_need("id", _key),),
+    "REMINDER": (_required("keyBack", _count),),
+    "LEFT": (_required("id", _hex_key),),
     "UNDER_WAY": (
-        _need("id", _key),
-        _need("server", _word),
-        _need("copy", _count),
-        _may("waitTimeMs", _ticks),
+        _required("id", _hex_key),
+        _required("server", _nonempty),
+        _required("copy", _count),
+        _optional("waitTimeMs", _ticks),
     ),
-    "HEARD": (_need("who", _count), _may("octets", _octets)),
+    "HEARD": (_required("who", _count), _optional("octets", _base64)),
 }
 
 
 def read_lines(source: BinaryIO) -> Iterator[tuple[int, str, list[Any]]]:
-    """Yields line number, message word and values; an absent value is None."""
-    for number, raw in enumerate(source, 1):
+    """Yields line number, message name and field values; an absent value is None. Raises WireError."""
+    for line_number, raw in enumerate(source, 1):
         try:
             line = raw.decode("utf-8").rstrip("\r\n")
         except UnicodeDecodeError:
-            raise WireError(f"line {number}: not UTF-8") from None
+            raise WireError(f"line {line_number}: not UTF-8") from None
         if not line:
             continue
-        word, _, rest = line.partition(" ")
-        fields = FIELDS.get(word)
+        message, _, rest = line.partition(" ")
+        fields = FIELDS.get(message)
         if fields is None:
-            raise WireError(f"line {number}: unknown message {word[:40]!r}")
+            raise WireError(f"line {line_number}: unknown message {message[:40]!r}")
         parts = rest.split(" ", len(fields) - 1) if rest and fields else []
         if len(parts) < len(fields):
-            raise WireError(f"line {number}: {word} lacks field {fields[len(parts)][0]}")
+            raise WireError(f"line {line_number}: {message} lacks field {fields[len(parts)][0]}")
         if not fields and rest:
-            raise WireError(f"line {number}: {word} takes no field")
+            raise WireError(f"line {line_number}: {message} takes no field")
         values: list[Any] = []
-        for (name, read, optional), part in zip(fields, parts):
+        for (name, parse, optional), part in zip(fields, parts):
             if part == "-" and optional:
                 values.append(None)
                 continue
             try:
-                values.append(read(part))
+                values.append(parse(part))
             except (ValueError, RecursionError):
-                raise WireError(f"line {number}: {word} field {name} is malformed: {part[:40]!r}") from None
-        yield number, word, values
+                raise WireError(
+                    f"line {line_number}: {message} field {name} is malformed: {part[:40]!r}"
+                ) from None
+        yield line_number, message, values
--- a/stackpitch/benchlink/host.py
+++ b/stackpitch/benchlink/host.py
@@ -1,4 +1,4 @@
-"""Hosts instances of the decision module: wire lines become calls, and what it asks becomes lines."""
+"""Hosts instances of the decision module: turns messages into calls, and its actions into reply lines."""
 
 import os
 from base64 import b64encode
@@ -35,28 +35,36 @@
     "stale_send": "not-sent",
 }
 STATES: dict[str, State] = {"in_service": "ready", "terminating": "draining", "terminated": "gone"}
-ROSTERS = {"Partial": False, "Complete": True, "Persisted": True}
-NO_KEY = "0" * 16
+# Whether the roster is complete, by the `how` of ROSTER_CHANGE.
+COMPLETE_ROSTER = {"Partial": False, "Complete": True, "Persisted": True}
+NO_KEY = "0" * 16  # stands for "no session" and "no shared prefix"
 
 
 class Instance:
-    """One gateway on the wire: the maps from ids to objects, and the lines that it writes."""
+    """One simulated gateway: maps the ids in messages to objects and collects a batch's reply lines.
+
+    Implements `interface.Gateway` for the decision module. The handlers take a message's fields in their order on
+    the wire, and raise BadField on a value that is unknown.
+    """
 
     def __init__(self, seed: int, config: dict[str, Any]) -> None:
-        tree = settings.SettingsSection(config)
+        section = settings.SettingsSection(config)
         self.lines: list[str] = []
         self.now: Time = 0
-        self.generations: dict[str, Generation] = {}  # emptied when over and the last leg is back
-        self.servers: dict[str, Server] = {}  # as many as the lists have named
-        self.calls: dict[int, Callable[[Time], None]] = {}  # emptied as they come due
-        self.next_call = 0
-        self.products: dict[str, Product] = settings.products(tree)
-        self.customers: dict[str, Customer] = settings.customers(tree)
-        self.kinds: dict[str, tuple[Role, int]] = settings.kinds(tree)
+        # By id; removed once the generation is over and its last leg has ended.
+        self.generations: dict[str, Generation] = {}
+        # By name; never removed, so bounded by the number of servers that rosters have named.
+        self.servers: dict[str, Server] = {}
+        # Callbacks by the key of the timer; removed when it fires.
+        self.timers: dict[int, Callable[[Time], None]] = {}
+        self.last_timer = 0
+        self.products: dict[str, Product] = settings.products(section)
+        self.customers: dict[str, Customer] = settings.customers(section)
+        self.kinds: dict[str, tuple[Role, int]] = settings.kinds(section)
         self.plausibility = PlausibilityFilter()
-        self.brain = Brain(self, seed, **settings.module_arguments(tree))
+        self.brain = Brain(self, seed, **settings.module_arguments(section))
 
-    # What the module asks for.
+    # Actions of the decision module (`interface.Gateway`): each adds a line to the reply, with times in ms.
 
     def send(self, gen: Generation, server: Server, limit: Time) -> Leg:
         leg = Leg(gen, len(gen.legs), server, self.now)
@@ -91,9 +99,9 @@
         self.lines.append(f"REASSIGN {gen.name}")
 
     def wake(self, delay: Time, call: Callable[[Time], None]) -> None:
-        self.next_call += 1
-        self.calls[self.next_call] = call
-        self.lines.append(f"TIMER {delay / 10} {self.next_call}")
+        self.last_timer += 1
+        self.timers[self.last_timer] = call
+        self.lines.append(f"TIMER {delay / 10} {self.last_timer}")
 
     def tell(self, peer: int, octets: bytes) -> None:
         self.lines.append(f"WRITE_PEER {peer} {b64encode(octets).decode()}")
@@ -104,21 +112,22 @@
     def log(self, text: str) -> None:
         self.lines.append("RECORD " + text.replace("\n", " "))
 
-    # What the wire tells.
+    # Incoming messages.
 
     def _report(self, server: str, usage: dict[str, float] | None) -> Report | None:
         self.plausibility.server = server
         return (
-            self.plausibility.report(*(usage.get(one) for one in ("x0", "utilization", "backlog")))
+            self.plausibility.report(*(usage.get(name) for name in ("x0", "utilization", "backlog")))
             if usage is not None
             else None
         )
 
-    def _doubted(self) -> None:
-        if (told := self.plausibility.due_log_fields(self.now)) is not None:
-            self.log("implausible " + " ".join(f"{name}={value}" for name, value in told.items()))
+    def _log_implausible(self) -> None:
+        if (fields := self.plausibility.due_log_fields(self.now)) is not None:
+            self.log("implausible " + " ".join(f"{name}={value}" for name, value in fields.items()))
 
     def _forget(self, gen: Generation) -> None:
+        """Removes a generation that is over and has no leg under way."""
         if gen.over and not gen.out():
             self.generations.pop(gen.name, None)
 
@@ -129,7 +138,7 @@
         if how == "Error":
             self.brain.roster_failed(self.now)
             return
-        if how not in ROSTERS:
+        if how not in COMPLETE_ROSTER:
             raise BadField("how")
         changed = []
         for name, zone, kind, cell, state, weight, started in rows:
@@ -144,7 +153,7 @@
             server.state, server.weight = STATES[state], 1.0 if weight is None else weight
             server.started = started or None
             changed.append(server)
-        self.brain.roster(self.now, changed, ROSTERS[how])
+        self.brain.roster(self.now, changed, COMPLETE_ROSTER[how])
 
     def on_ingress(
         self,
@@ -154,12 +163,12 @@
         product: str,
         prompt_tok: int,
         session: str | None,
-        gives_up: Time,
+        time_limit: Time,
         shared: str | None,
         resumed: bool | None,
         limit_tok: int | None,
         customer: str | None,
-        hint: Time | None,
+        expected: Time | None,
     ) -> None:
         if product not in self.products:
             raise BadField("type")
@@ -172,9 +181,9 @@
             shared_tok or 0,
             prompt_tok,
             limit_tok or 0,
-            hint,
+            expected,
             self.now,
-            gives_up,
+            time_limit,
             bool(repeat),
             bool(resumed),
         )
@@ -182,6 +191,7 @@
         self.brain.arrived(self.now, gen)
 
     def _leg(self, name: str, number: int) -> Leg | None:
+        """None if the generation is unknown, as it is after it was removed or after a restart."""
         gen = self.generations.get(name)
         if gen is None:
             return None
@@ -209,13 +219,13 @@
         leg.gen.over = leg.gen.over or bool(over)
         no_state = leg.outcome == "full" and detail == 1
         report = self._report(server, usage)
-        kept = (
+        cached = (
             self.plausibility.cached_tok(detail, leg.gen.prompt_tok)
             if detail and leg.outcome in ("read", "streamed")
             else 0
         )
-        self.brain.ended(self.now, leg, kept, no_state, report)
-        self._doubted()
+        self.brain.ended(self.now, leg, cached, no_state, report)
+        self._log_implausible()
         self._forget(leg.gen)
 
     def on_started(self, name: str, server: str, number: int, wait: Time | None) -> None:
@@ -245,15 +255,15 @@
             self.brain.probed(
                 self.now, self.servers[server], disposition == "pass", self._report(server, usage)
             )
-            self._doubted()
+            self._log_implausible()
 
     def on_heard(self, peer: int, octets: bytes | None) -> None:
         self.brain.heard(self.now, peer, octets or b"")
 
     def on_reminder(self, key: int) -> None:
-        call = self.calls.pop(key, None)
-        if call is not None:
-            call(self.now)
+        callback = self.timers.pop(key, None)
+        if callback is not None:
+            callback(self.now)
 
 
 HANDLERS: dict[str, Callable[..., None]] = {
@@ -268,92 +278,100 @@
 }
 
 
-def _fault(wrong: Exception) -> str:
-    trace = wrong.__traceback__
+def _fault_line(error: Exception) -> str:
+    """The FAULT message for an exception, with the file and line that raised it."""
+    trace = error.__traceback__
     while trace is not None and trace.tb_next is not None:
         trace = trace.tb_next
-    place = f"{os.path.basename(trace.tb_frame.f_code.co_filename)}:{trace.tb_lineno}" if trace else "unknown"
-    return f"FAULT {type(wrong).__name__} at {place}: {' '.join(str(wrong).split())[:200]}"
+    location = (
+        f"{os.path.basename(trace.tb_frame.f_code.co_filename)}:{trace.tb_lineno}" if trace else "unknown"
+    )
+    return f"FAULT {type(error).__name__} at {location}: {' '.join(str(error).split())[:200]}"
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers batches until the input ends."""
+    """Answers each batch with one reply until the input ends. Raises WireError on invalid input."""
     instances: dict[int, Instance] = {}
     lines = read_lines(source)
     now, batch, who = 0, -1, -1  # batch is -1 outside a batch, who is -1 before SWITCH_TO
     touched: dict[int, Instance] = {}
-    extra: dict[int, list[str]] = {}
-    number = 0
-    for number, word, values in lines:
-        if word == "BATCH":
+    faults: dict[int, list[str]] = {}
+    line_number = 0
+    for line_number, message, values in lines:
+        if message == "BATCH":
             if batch >= 0:
-                raise WireError(f"line {number}: BATCH before the last one's EOF_BATCH")
+                raise WireError(f"line {line_number}: BATCH before the EOF_BATCH of the previous batch")
             now, batch = values
-            who, touched, extra = -1, {}, {}
+            who, touched, faults = -1, {}, {}
             continue
         if batch < 0:
-            raise WireError(f"line {number}: {word} outside a batch")
-        if word == "EOF_BATCH":
+            raise WireError(f"line {line_number}: {message} outside a batch")
+        if message == "EOF_BATCH":
             reply = []
-            for one in sorted(touched.keys() | extra.keys()):
-                said = extra.get(one, []) + (touched[one].lines if one in touched else [])
-                if said:
-                    reply.append(f"AT {one}")
-                    reply += said
-                if one in touched:
-                    touched[one].lines = []
+            for instance_number in sorted(touched.keys() | faults.keys()):
+                output = faults.get(instance_number, []) + (
+                    touched[instance_number].lines if instance_number in touched else []
+                )
+                if output:
+                    reply.append(f"AT {instance_number}")
+                    reply += output
+                if instance_number in touched:
+                    touched[instance_number].lines = []
             reply.append(f"EOR {batch}")
             sink.write(("\n".join(reply) + "\n").encode())
             sink.flush()
             batch = -1
             continue
-        if word == "SWITCH_TO":
+        if message == "SWITCH_TO":
             who = values[0]
             continue
         if who < 0:
-            raise WireError(f"line {number}: {word} before SWITCH_TO")
-        if word == "CRASH_NOW":
+            raise WireError(f"line {line_number}: {message} before SWITCH_TO")
+        if message == "CRASH_NOW":
             instances.pop(who, None)
             touched.pop(who, None)
-            extra.pop(who, None)
+            faults.pop(who, None)
             continue
         try:
-            if word == "PROVISION":
+            if message == "PROVISION":
                 try:
                     instances[who] = Instance(values[0], values[1])
-                except settings.InvalidSetting as lack:
-                    raise WireError(f"line {number}: PROVISION field {lack} is malformed") from None
+                except settings.InvalidSetting as setting:
+                    raise WireError(f"line {line_number}: PROVISION field {setting} is malformed") from None
                 instances[who].now = now
                 touched[who] = instances[who]
                 instances[who].on_provisioned()
                 continue
             instance = instances.get(who)
             if instance is None:
-                raise WireError(f"line {number}: {word} for instance {who}, which has no PROVISION")
+                raise WireError(f"line {line_number}: {message} for instance {who}, which has no PROVISION")
             instance.now = now
             touched[who] = instance
-            if word == "ROSTER_CHANGE":
-                rows = _rows(lines, number, values[2])
+            if message == "ROSTER_CHANGE":
+                rows = _rows(lines, line_number, values[2])
                 instance.on_roster(values[0], rows)
-            elif word in HANDLERS:
-                HANDLERS[word](instance, *values)
+            elif message in HANDLERS:
+                HANDLERS[message](instance, *values)
             else:
-                raise WireError(f"line {number}: {word} is out of place")
+                raise WireError(f"line {line_number}: {message} is not allowed here")
         except WireError:
             raise
-        except BadField as wrong:
-            raise WireError(f"line {number}: {word} field {wrong} is malformed") from None
-        except Exception as wrong:  # whatever the module raises becomes the wire's fault message
-            extra.setdefault(who, []).append(_fault(wrong))
+        except BadField as field:
+            raise WireError(f"line {line_number}: {message} field {field} is malformed") from None
+        except Exception as error:  # an exception of the decision module becomes a FAULT message
+            faults.setdefault(who, []).append(_fault_line(error))
     if batch >= 0:
-        raise WireError(f"line {number + 1}: input ends inside a batch")
+        raise WireError(f"line {line_number + 1}: input ends inside a batch")
 
 
-def _rows(lines: Any, number: int, count: int) -> list[list[Any]]:
+def _rows(lines: Any, line_number: int, count: int) -> list[list[Any]]:
+    """Reads the ROW messages that must follow a ROSTER_CHANGE."""
     rows = []
     for _ in range(count):
-        at, word, values = next(lines, (number + 1, "nothing", []))
-        if word != "ROW":
-            raise WireError(f"line {at}: ROSTER_CHANGE wants {count} members, got {len(rows)} and {word}")
+        row_line, message, values = next(lines, (line_number + 1, "nothing", []))
+        if message != "ROW":
+            raise WireError(
+                f"line {row_line}: ROSTER_CHANGE wants {count} members, got {len(rows)} and {message}"
+            )
         rows.append(values)
     return rows
--- a/stackpitch/benchlink/settings.py
+++ b/stackpitch/benchlink/settings.py
@@ -1,4 +1,7 @@
-"""Reads an instance's settings into the module's plain types and arguments."""
+"""Converts the settings object of a simulated gateway to the decision module's types and arguments.
+
+Also used by `stackpitch.platform`, whose configuration holds the same object.
+"""
 
 from typing import Any
 
@@ -9,53 +12,56 @@
     "guarded": "deduplicated",
     "single_shot": "side-effecting",
 }
-MOST = 1e15  # of any figure, in the settings' own units
+MAX_VALUE = 1e15  # bound of any number in the settings, whatever its unit
 ROLES: dict[str, Role] = {"read": "reader", "write": "writer", "both": "mixed"}
 
 
 class InvalidSetting(Exception):
-    """A setting that is absent, of the wrong kind or out of range; its text is the setting's path."""
+    """A setting that is missing, of the wrong type or out of range; the message is the setting's path."""
 
 
 class SettingsSection:
-    """A part of the settings object that names what it lacks. Unknown keys are left alone."""
+    """An object within the settings. Unknown keys are ignored.
+
+    The getters raise InvalidSetting with the path of the value that is wrong.
+    """
 
     def __init__(self, values: Any, path: str = "config") -> None:
         if not isinstance(values, dict):
             raise InvalidSetting(path)
         self.values, self.path = values, path
 
-    def get(self, key: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
+    def get(self, key: str, expected: type | tuple[type, ...], default: Any = None) -> Any:
         value = self.values.get(key, default)
-        if isinstance(value, bool) and kind is not bool or not isinstance(value, kind):
+        if isinstance(value, bool) and expected is not bool or not isinstance(value, expected):
             raise InvalidSetting(f"{self.path}.{key}")
         return value
 
     def number(self, key: str, default: float | None = None) -> float:
         return self._finite(self.get(key, (int, float), default), key)
 
-    def numbers(self, key: str, least: float = 0) -> list[float]:
-        """Each `least` at least."""
-        found = []
+    def numbers(self, key: str, minimum: float = 0) -> list[float]:
+        """A list of finite numbers, each at least `minimum`; empty if the key is missing."""
+        numbers = []
         for i, value in enumerate(self.get(key, list, [])):
             if isinstance(value, bool) or not isinstance(value, (int, float)):
                 raise InvalidSetting(f"{self.path}.{key}[{i}]")
-            found.append(self._finite(value, f"{key}[{i}]"))
-            if found[i] < least:
+            numbers.append(self._finite(value, f"{key}[{i}]"))
+            if numbers[i] < minimum:
                 raise InvalidSetting(f"{self.path}.{key}[{i}]")
-        return found
+        return numbers
 
     def _finite(self, value: float, key: str) -> float:
-        if not abs(value) < MOST:  # NaN as well
+        if not abs(value) < MAX_VALUE:  # also true of NaN
             raise InvalidSetting(f"{self.path}.{key}")
         return float(value)
 
     def ticks(self, key: str, default: float | None = None) -> int:
-        """A span of time, in tenths of a millisecond; none is negative."""
-        found = self.number(key, default)
-        if found < 0:
+        """A duration in ms, converted to tenths of a millisecond. Raises InvalidSetting on a negative one."""
+        milliseconds = self.number(key, default)
+        if milliseconds < 0:
             raise InvalidSetting(f"{self.path}.{key}")
-        return int(found * 10 + 1e-6)
+        return int(milliseconds * 10 + 1e-6)
 
     def section(self, key: str) -> "SettingsSection":
         return SettingsSection(self.values.get(key), f"{self.path}.{key}")
@@ -67,65 +73,72 @@
 
 
 def products(config: SettingsSection) -> dict[str, Product]:
+    """Products by name, from `classes`."""
     extra = config.section("extra")
     per_ktok, gaps = extra.numbers("aimUsPer1000PromptTokens"), extra.numbers("tokenAimMs")
-    found = {}
-    for i, one in enumerate(config.sections("classes")):
-        effect = EFFECTS.get(one.get("effect", str))
+    by_name = {}
+    for i, section in enumerate(config.sections("classes")):
+        effect = EFFECTS.get(section.get("effect", str))
         if effect is None:
-            raise InvalidSetting(f"{one.path}.effect")
-        name = one.get("name", str)
-        if name in found:  # which of the two a request is of could not be told
-            raise InvalidSetting(f"{one.path}.name")
-        found[name] = Product(
+            raise InvalidSetting(f"{section.path}.effect")
+        name = section.get("name", str)
+        if name in by_name:  # a request could not tell which of the two it means
+            raise InvalidSetting(f"{section.path}.name")
+        by_name[name] = Product(
             name=name,
             effect=effect,
-            scope=one.get("dedupScope", str, "all"),
-            memory=one.ticks("keyTtlMs", 0),
-            slo_time=one.ticks("aimMs"),
+            scope=section.get("dedupScope", str, "all"),
+            memory=section.ticks("keyTtlMs", 0),
+            slo_time=section.ticks("aimMs"),
             slo_per_ktok=int(per_ktok[i] / 100) if i < len(per_ktok) else 0,
             token_gap=int(gaps[i] * 10) if i < len(gaps) else 0,
-            time_limit=one.ticks("deadlineMs"),
-            revenue=one.number("worth", 1),
-            late_revenue=one.number("lateWorth", 0),
+            time_limit=section.ticks("deadlineMs"),
+            revenue=section.number("worth", 1),
+            late_revenue=section.number("lateWorth", 0),
         )
-    if not found:  # every request would be refused
+    if not by_name:  # every request would be refused
         raise InvalidSetting(f"{config.path}.classes")
-    return found
+    return by_name
 
 
 def customers(config: SettingsSection) -> dict[str, Customer]:
+    """Customers by name, from `tenants`."""
     return {
-        one.get("name", str): Customer(
-            one.get("name", str), one.number("share", 0), one.number("quotaPerS", 0)
+        section.get("name", str): Customer(
+            section.get("name", str), section.number("share", 0), section.number("quotaPerS", 0)
         )
-        for one in config.sections("tenants")
+        for section in config.sections("tenants")
     }
 
 
 def kinds(config: SettingsSection) -> dict[str, tuple[Role, int]]:
-    """Each kind of machine: its role and its memory in tokens. A reader's may lack; shares of the others' are what
-    throttling goes by."""
+    """Role and KV memory, in tokens, of each kind of server.
+
+    The memory of a reader may be missing (0). That of the other roles is required, as throttling depends on the
+    share of it that is used.
+    """
     extra = config.section("extra")
     names = config.get("models", list)
-    duties, memory = extra.get("dutyByKind", list), extra.numbers("kvTokens", least=1)
+    roles, memory = extra.get("dutyByKind", list), extra.numbers("kvTokens", minimum=1)
     if any(not isinstance(name, str) for name in names):
         raise InvalidSetting(f"{config.path}.models")
-    if len(duties) != len(names) or any(not isinstance(duty, str) or duty not in ROLES for duty in duties):
+    if len(roles) != len(names) or any(not isinstance(role, str) or role not in ROLES for role in roles):
         raise InvalidSetting(f"{extra.path}.dutyByKind")
-    read = extra.get("localRead", bool, False) or "read" in duties
-    if "both" not in duties and not (read and "write" in duties):  # nothing could ever be answered
+    can_read = extra.get("localRead", bool, False) or "read" in roles
+    if "both" not in roles and not (can_read and "write" in roles):  # no request could be completed
         raise InvalidSetting(f"{extra.path}.dutyByKind")
-    if any(duty != "read" for duty in duties[len(memory) :]):
+    if any(role != "read" for role in roles[len(memory) :]):
         raise InvalidSetting(f"{extra.path}.kvTokens")
-    return {
-        name: (ROLES[duties[i]], int(memory[i]) if i < len(memory) else 0) for i, name in enumerate(names)
-    }
+    return {name: (ROLES[roles[i]], int(memory[i]) if i < len(memory) else 0) for i, name in enumerate(names)}
 
 
 def module_arguments(config: SettingsSection) -> dict[str, Any]:
-    """The keyword arguments with which the module is made."""
-    bounds, rules, extra = config.section("bounds"), config.section("guarantees"), config.section("extra")
+    """The keyword arguments for the constructor of the decision module."""
+    bounds, guarantees, extra = (
+        config.section("bounds"),
+        config.section("guarantees"),
+        config.section("extra"),
+    )
     via = config.section("report").get("via", str, "") if "report" in config.values else ""
     return {
         "gateways": max(1, int(config.number("balancers", 1))),
@@ -138,8 +151,8 @@
         "cancels": bounds.get("cancel", bool, False),
         "probes": bounds.get("probes", bool, False) and via == "pull",
         "must_ask": config.get("discovery", str, "pushed") == "on_request",
-        "cold_from": rules.number("coldFrom", 1),
-        "warm_up": rules.ticks("warmUpMs", 0),
+        "cold_from": guarantees.number("coldFrom", 1),
+        "warm_up": guarantees.ticks("warmUpMs", 0),
         "release": extra.ticks("releaseMs", 500),
-        "fall_multiple": rules.number("fallMultiple", 1),
+        "fall_multiple": guarantees.number("fallMultiple", 1),
     }
