--- a/stackpitch/benchlink/host.py
+++ b/stackpitch/benchlink/host.py
@@ -43,8 +43,8 @@
 class Instance:
     """One simulated gateway: maps the ids in messages to objects and collects a batch's reply lines.
 
-    Implements `interface.Gateway` for the decision module. The handlers take a message's fields in their order on
-    the wire, and raise BadField on a value that is unknown.
+    Implements `interface.Gateway` for the decision module. The handlers take a message's fields in their
+    order on the wire, and raise BadField on a value that is unknown.
     """
 
     def __init__(self, seed: int, config: dict[str, Any]) -> None:
--- a/stackpitch/benchlink/settings.py
+++ b/stackpitch/benchlink/settings.py
@@ -114,8 +114,8 @@
 def kinds(config: SettingsSection) -> dict[str, tuple[Role, int]]:
     """Role and KV memory, in tokens, of each kind of server.
 
-    The memory of a reader may be missing (0). That of the other roles is required, as throttling depends on the
-    share of it that is used.
+    The memory of a reader may be missing (0). That of the other roles is required, as throttling depends on
+    the share of it that is used.
     """
     extra = config.section("extra")
     names = config.get("models", list)
--- a/stackpitch/exchange.py
+++ b/stackpitch/exchange.py
@@ -1,4 +1,4 @@
-"""One small HTTP request and its whole answer over the loop: what gateways say to each other and to engines."""
+"""Small HTTP requests with buffered responses, between gateways and to engines."""
 
 from stackpitch.loop import ConnectFailed, Coro, Lost, Stream, Time, World
 from stackpitch.loop.world import Address
@@ -8,25 +8,30 @@
 def round_trip(
     stream: Stream, request: bytes, max_head: int, max_body: int
 ) -> Coro[http.ResponseParser | None]:
-    """Writes the request and reads the answer, its body in `pieces`; None if the connection ends before. Raises Lost,
-    http.BadMessage."""
-    reader = http.ResponseParser(max_head, max_body)
+    """Writes the request and reads the whole response, its body in `pieces`.
+
+    None if the connection ends first. Raises Lost, http.BadMessage.
+    """
+    response = http.ResponseParser(max_head, max_body)
     stream.write(request)
     pieces: list[bytes] = []
-    while not reader.complete:
+    while not response.complete:
         data = yield from stream.recv()
         if not data:
             return None
-        reader.feed(data)
-        pieces += reader.pieces
-    reader.pieces = pieces
-    return reader
+        response.feed(data)
+        pieces += response.pieces
+    response.pieces = pieces
+    return response
 
 
 def request_once(
     world: World, address: Address, limit: Time, request: bytes, max_body: int = 1 << 16
 ) -> Coro[http.ResponseParser | None]:
-    """The same on a connection of its own, connecting included in the limit; None if no whole answer came."""
+    """Sends one request on a new connection; the limit includes connecting.
+
+    None unless a whole response came.
+    """
     try:
         with world.limit(limit):
             stream = yield from world.connect(address, limit)
--- a/stackpitch/plausible.py
+++ b/stackpitch/plausible.py
@@ -1,8 +1,8 @@
 """Plausibility checks on load and cached token counts reported by servers. Pure; only the standard library.
 
-A share slightly outside 0 to 1 is noise and is clipped, as is a cached token count above its prompt's length. A
-value far outside its range, or one that is not a number, is no evidence about the server and is dropped. Both are
-counted under a fixed set of names that exist from the start.
+A share slightly outside 0 to 1 is noise and is clipped, as is a cached token count above its prompt's length.
+A value far outside its range, or one that is not a number, is no evidence about the server and is dropped.
+Both are counted under a fixed set of names that exist from the start.
 """
 
 from math import nan
@@ -80,7 +80,7 @@
         return int(min(cached, prompt_tok))
 
     def due_log_fields(self, now: Time) -> dict[str, object] | None:
-        """The fields of the log line that is due: the server of the latest implausible value, all counts above 0.
+        """The fields of the log line that is due: the latest implausible value's server, all counts above 0.
 
         None if nothing was counted since the last line, or that line is less than MIN_LOG_INTERVAL old.
         """
--- a/stackpitch/settings/__init__.py
+++ b/stackpitch/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings of all parts: Jsonnet templates, one schema, complaints that name file, field and what is allowed."""
+"""Settings: Jsonnet templates, their schema, and errors that name the file, the field and what is allowed."""
 
 from stackpitch.settings.load import BadSettings, evaluate, read, schema
 from stackpitch.settings.model import LIVE_SETTINGS, Fleet, Listed, Settings, Weights
--- a/stackpitch/settings/convert.py
+++ b/stackpitch/settings/convert.py
@@ -1,47 +1,49 @@
-"""From settings to what the decision modules are made with. Pure."""
+"""Converts settings to the arguments of the decision module. Pure."""
 
 from typing import Any
 
 from stackpitch.interface import Customer, Product, Role, Time
-from stackpitch.preferences import DAYS, Hours, Preferences, Rule, Servers
+from stackpitch.preferences import DAYS, Hours, Preferences, Rule, ServerSelector
 from stackpitch.settings.model import Settings
 
 
 def ticks(ms: float) -> Time:
+    """Milliseconds in units of `Time`, tenths of a millisecond."""
     return int(ms * 10)
 
 
-def minutes(clock: str) -> int:
+def minute_of_day(clock: str) -> int:
+    """The minute of the day of a time such as 22:30."""
     hour, _, minute = clock.partition(":")
     return int(hour) * 60 + int(minute)
 
 
 def preferences(settings: Settings, epoch: Time) -> Preferences:
-    """`epoch`: Unix time, in tenths of a millisecond, at which the module's clock is 0."""
+    """The routing rules. `epoch`: Unix time, in tenths of a millisecond, at which the module's clock is 0."""
     rules = []
-    for one in settings.rules:
-        where = one.where
+    for rule in settings.rules:
+        where = rule.where
         roles = frozenset(where.roles) or frozenset(
             settings.kinds[kind].role for kind in where.kinds if kind in settings.kinds
         )
         hours = []
-        for span in one.hours:
+        for span in rule.hours:
             begin, _, end = span.clock.partition("-")
             days = frozenset(DAYS.index(day) for day in span.days) or frozenset(range(7))
-            hours.append(Hours(minutes(begin), minutes(end), days))
+            hours.append(Hours(minute_of_day(begin), minute_of_day(end), days))
         rules.append(
             Rule(
-                one.name,
-                one.how,
-                Servers(
+                rule.name,
+                rule.how,
+                ServerSelector(
                     frozenset(where.servers),
                     frozenset(where.cells),
                     frozenset(where.zones),
                     frozenset(where.kinds),
                     frozenset(where.roles),
                 ),
-                frozenset(one.products),
-                frozenset(one.customers),
+                frozenset(rule.products),
+                frozenset(rule.customers),
                 tuple(hours),
                 roles,
             )
@@ -50,34 +52,39 @@
 
 
 def products(settings: Settings) -> dict[str, Product]:
+    """Products by name."""
     return {
         name: Product(
             name,
-            one.effect,
-            one.scope,
-            ticks(one.memory_ms),
-            ticks(one.slo_ms),
-            ticks(one.slo_ms_per_ktok),
-            ticks(one.token_gap_ms),
-            ticks(one.time_limit_ms),
-            one.revenue,
-            one.late_revenue,
+            product.effect,
+            product.scope,
+            ticks(product.memory_ms),
+            ticks(product.slo_ms),
+            ticks(product.slo_ms_per_ktok),
+            ticks(product.token_gap_ms),
+            ticks(product.time_limit_ms),
+            product.revenue,
+            product.late_revenue,
         )
-        for name, one in settings.products.items()
+        for name, product in settings.products.items()
     }
 
 
 def customers(settings: Settings) -> dict[str, Customer]:
-    return {name: Customer(name, one.share, one.quota_per_s) for name, one in settings.customers.items()}
+    """Customers by name."""
+    return {
+        name: Customer(name, customer.share, customer.quota_per_s)
+        for name, customer in settings.customers.items()
+    }
 
 
 def kinds(settings: Settings) -> dict[str, tuple[Role, int]]:
-    """Role and memory, in tokens, of each kind."""
-    return {name: (one.role, one.memory_tok) for name, one in settings.kinds.items()}
+    """Role and KV memory, in tokens, of each kind of server."""
+    return {name: (kind.role, kind.memory_tok) for name, kind in settings.kinds.items()}
 
 
 def module_arguments(settings: Settings) -> dict[str, Any]:
-    """The arguments of `Brain` beside gateway and seed."""
+    """The keyword arguments of `Brain`: all but the gateway and the seed."""
     module = settings.module
     return {
         "number": module.number,
--- a/stackpitch/settings/load.py
+++ b/stackpitch/settings/load.py
@@ -1,4 +1,4 @@
-"""Evaluates a Jsonnet file and checks it against a model. Reads files; keeps nothing."""
+"""Evaluates Jsonnet files and validates them against a model."""
 
 import json
 from collections.abc import Mapping
@@ -10,69 +10,80 @@
 
 from stackpitch.settings.model import LIVE_SETTINGS, Settings
 
-M = TypeVar("M", bound=BaseModel)
+Model = TypeVar("Model", bound=BaseModel)
 
 
 class BadSettings(Exception):
-    """What is wrong in which file, a line for each complaint."""
+    """Invalid settings; the message has one line for each error, which names the file."""
 
 
-def evaluate(path: Path, given: Mapping[str, str] | None = None) -> Any:
-    """The file's value. `given` are external variables (`std.extVar`). Raises BadSettings."""
+def evaluate(path: Path, ext_vars: Mapping[str, str] | None = None) -> Any:
+    """The value of a Jsonnet file.
+
+    `ext_vars` are its external variables (`std.extVar`). Raises BadSettings.
+    """
     try:
         path.read_bytes().decode("utf-8")
-    except OSError as wrong:
-        raise BadSettings(f"{path}: {wrong.strerror}") from None
-    except UnicodeDecodeError as wrong:
-        raise BadSettings(f"{path}: not UTF-8 at byte {wrong.start}") from None
+    except OSError as error:
+        raise BadSettings(f"{path}: {error.strerror}") from None
+    except UnicodeDecodeError as error:
+        raise BadSettings(f"{path}: not UTF-8 at byte {error.start}") from None
     try:
-        return json.loads(rjsonnet.evaluate_file(str(path), ext_vars=dict(given or {})))
-    except Exception as wrong:  # the library raises several kinds
-        lines = [line.strip() for line in str(wrong).strip().splitlines() if line.strip()]
+        return json.loads(rjsonnet.evaluate_file(str(path), ext_vars=dict(ext_vars or {})))
+    except Exception as error:  # rjsonnet raises exceptions of several classes
+        lines = [line.strip() for line in str(error).strip().splitlines() if line.strip()]
         raise BadSettings(f"{path}: {'; '.join(lines[:3])[:400]}") from None
 
 
-def check(model: type[M], tree: Any, path: Path | str) -> M:
-    """Raises BadSettings with path of the field, what was found and what is allowed."""
+def check(model: type[Model], tree: Any, path: Path | str) -> Model:
+    """The tree as a model. Raises BadSettings with each field's path, what was found and what is allowed."""
     try:
         return model.model_validate(tree)
-    except ValidationError as wrong:
+    except ValidationError as error:
         lines = []
-        for one in wrong.errors(include_url=False):
-            field = ".".join(str(part) for part in one["loc"] if part != "[key]") or "(whole)"
-            if one["type"] == "extra_forbidden":
+        for detail in error.errors(include_url=False):
+            field = ".".join(str(part) for part in detail["loc"] if part != "[key]") or "(whole)"
+            if detail["type"] == "extra_forbidden":
                 lines.append(
-                    f"{path}: {field}: unknown field; allowed beside it: {_beside(model, one['loc'])}"
+                    f"{path}: {field}: unknown field; allowed beside it: {_sibling_fields(model, detail['loc'])}"
                 )
-            elif one["type"] == "missing":
+            elif detail["type"] == "missing":
                 lines.append(f"{path}: {field}: missing")
             else:
-                lines.append(f"{path}: {field}: {one['msg']}; found {str(one['input'])[:60]!r}")
+                lines.append(f"{path}: {field}: {detail['msg']}; found {str(detail['input'])[:60]!r}")
         raise BadSettings("\n".join(lines)) from None
 
 
-def _beside(model: type[BaseModel], place: tuple[int | str, ...]) -> str:
-    """The fields that the model has where an unknown one was found."""
-    here: Any = model
-    for step in place[:-1]:
+def _sibling_fields(model: type[BaseModel], path: tuple[int | str, ...]) -> str:
+    """The fields that the model allows where an unknown one was found."""
+    current: Any = model
+    for step in path[:-1]:
         field = (
-            here.model_fields.get(str(step))
-            if isinstance(here, type) and issubclass(here, BaseModel)
+            current.model_fields.get(str(step))
+            if isinstance(current, type) and issubclass(current, BaseModel)
             else None
         )
-        kind = field.annotation if field is not None else here
-        args = [one for one in getattr(kind, "__args__", ()) if isinstance(one, type)]
-        models = [one for one in [kind, *args] if isinstance(one, type) and issubclass(one, BaseModel)]
-        here = models[-1] if models else kind
-    return ", ".join(here.model_fields) if isinstance(here, type) and issubclass(here, BaseModel) else "-"
+        annotation = field.annotation if field is not None else current
+        args = [arg for arg in getattr(annotation, "__args__", ()) if isinstance(arg, type)]
+        models = [cls for cls in [annotation, *args] if isinstance(cls, type) and issubclass(cls, BaseModel)]
+        current = models[-1] if models else annotation
+    return (
+        ", ".join(current.model_fields)
+        if isinstance(current, type) and issubclass(current, BaseModel)
+        else "-"
+    )
 
 
-def read(model: type[M], path: Path, given: Mapping[str, str] | None = None) -> M:
-    return check(model, evaluate(path, given), path)
+def read(model: type[Model], path: Path, ext_vars: Mapping[str, str] | None = None) -> Model:
+    """Evaluates a file and validates it. Raises BadSettings."""
+    return check(model, evaluate(path, ext_vars), path)
 
 
 def schema(model: type[BaseModel]) -> dict[str, Any]:
-    """JSON Schema. `x-live` marks settings that a running gateway takes over; all others need a restart."""
+    """The JSON Schema of a model.
+
+    `x-live` marks settings that a running gateway reloads; others need a restart.
+    """
     tree = model.model_json_schema()
     if model is Settings:
         for name, field in tree["properties"].items():
--- a/stackpitch/settings/model/__init__.py
+++ b/stackpitch/settings/model/__init__.py
@@ -1,4 +1,7 @@
-"""The schema. Times are milliseconds here and whole tenths of one everywhere else; sizes are bytes or tokens."""
+"""The schema of the settings. Times are in milliseconds here, in whole tenths of one in the rest of the code.
+
+Sizes are in bytes or tokens.
+"""
 
 from stackpitch.settings.model.base import (
     Count,
--- a/stackpitch/settings/model/base.py
+++ b/stackpitch/settings/model/base.py
@@ -1,4 +1,4 @@
-"""What all parts of the schema are made of."""
+"""Field types and the base class that all models of the schema share."""
 
 from ipaddress import AddressValueError, IPv4Address
 from typing import Annotated
@@ -13,11 +13,13 @@
 
 
 class StrictModel(BaseModel):
+    """Base of all models: frozen, without unknown fields, type conversions, infinities or NaN."""
+
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True, allow_inf_nan=False)
 
 
-def _address(text: str) -> str:
-    """No names: looking one up would hold up the loop, and one that can't be found would end the gateway."""
+def _check_host_port(text: str) -> str:
+    """Rejects host names: a lookup would block the event loop, and a failed one would end the gateway."""
     host, _, port = text.rpartition(":")
     try:
         IPv4Address(host)
@@ -28,4 +30,4 @@
     raise ValueError("allowed: an IPv4 address, a colon and a port from 1 to 65535")
 
 
-HostPort = Annotated[str, AfterValidator(_address)]
+HostPort = Annotated[str, AfterValidator(_check_host_port)]
--- a/stackpitch/settings/model/fleet.py
+++ b/stackpitch/settings/model/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet's file and the weights', and how lists come into force."""
+"""The schemas of the fleet file and the weights file, and how new server lists take effect."""
 
 from typing import Annotated, Literal
 
@@ -8,29 +8,26 @@
 
 
 class Membership(StrictModel):
-    """How lists of servers come in and into force."""
+    """How server lists are read and take effect."""
 
-    watch: bool = (
-        True  # the files, and look at them each poll_ms as well; else they are read at start and when asked
-    )
-    settle_ms: Milliseconds = 100  # without a change, before files are read
-    settle_most_ms: Milliseconds = 3000  # after which they are read though they still change
+    # Watch the files, and poll them every poll_ms as well; otherwise they are read at start and on request.
+    watch: bool = True
+    settle_ms: Milliseconds = 100  # files are read once they have not changed for this long
+    settle_most_ms: Milliseconds = 3000  # after this they are read even if they still change
     poll_ms: PositiveFloat = 1000
-    check_ms: PositiveFloat = 10000  # for a check, after which it is given up
-    step_share: Annotated[float, Field(gt=0, le=1)] = (
-        0.34  # of a role's ready servers that may be missing at once
-    )
+    check_ms: PositiveFloat = 10000  # time limit of a check
+    # Share of a role's ready servers that may be missing from a list at once.
+    step_share: Annotated[float, Field(gt=0, le=1)] = 0.34
     step_ms: Milliseconds = 2000
-    persist_ms: Milliseconds = 15000  # a list held back is taken once it has stood so long
-    flap_count: Annotated[int, Field(ge=3)] = (
-        6  # comings and goings of a server in flap_window_ms that keep it out
-    )
+    persist_ms: Milliseconds = 15000  # a list that was held back is accepted once unchanged for this long
+    # A server that is added or removed this often within flap_window_ms is kept out.
+    flap_count: Annotated[int, Field(ge=3)] = 6
     flap_window_ms: PositiveFloat = 30000
-    flap_calm_ms: Milliseconds = 20000  # without one, before it is taken back
+    flap_calm_ms: Milliseconds = 20000  # time without such a change before it is accepted again
 
 
 class Listed(StrictModel):
-    """One server of the fleet's file."""
+    """One server of the fleet file."""
 
     name: Name
     host: str
@@ -40,15 +37,17 @@
     cell: int = 0
     state: Literal["ready", "draining"] = "ready"
     weight: PositiveFloat = 1.0
-    started_unix_ms: Annotated[int, Field(ge=0)] | None = None  # of its latest start; left out: long ago
-    vocabulary: Annotated[str, Field(pattern=r"^([0-9a-f]{32})?$")] = (
-        ""  # digest of its tokenizer's (docs/duties.md)
-    )
+    started_unix_ms: Annotated[int, Field(ge=0)] | None = None  # its latest start; omitted: long ago
+    # Digest of its tokenizer's vocabulary (docs/duties.md); empty: unknown.
+    vocabulary: Annotated[str, Field(pattern=r"^([0-9a-f]{32})?$")] = ""
 
 
 class Fleet(StrictModel):
-    """`digest`, if it is there, is that of the servers, as `stackpitch fleet check` prints it: a list is then taken only
-    when it is whole."""
+    """The fleet file.
+
+    `digest`, if present, is the digest of the servers as `stackpitch fleet check` prints it; a list is then
+    accepted only if it is complete.
+    """
 
     version: Annotated[int, Field(ge=0)]
     digest: str = ""
@@ -56,4 +55,4 @@
 
 
 class Weights(RootModel[dict[Name, PositiveFloat]]):
-    """Weight by server name."""
+    """The weights file: weight by server name."""
--- a/stackpitch/settings/model/module.py
+++ b/stackpitch/settings/model/module.py
@@ -1,4 +1,4 @@
-"""What the decision module is told, and the gateways that it may write to."""
+"""Settings of the decision module, and the other gateways that it exchanges messages with."""
 
 from typing import Annotated
 
@@ -8,7 +8,7 @@
 
 
 class Module(StrictModel):
-    """What the decision module is told of its deployment."""
+    """What the decision module knows about its deployment."""
 
     gateways: Count = 1
     number: Annotated[int, Field(ge=0)] = 0
@@ -19,14 +19,13 @@
     cold_from: Annotated[float, Field(gt=0, le=1)] = 0.3
     warm_up_ms: Milliseconds = 13000
     fall_multiple: PositiveFloat = 2.5
-    probes: bool = False  # engines tell their load only when asked: one probe with each generation
+    probes: bool = False  # engines report load only on request: one probe for each generation
 
 
 class Peers(StrictModel):
-    """The other gateways. Words between them are small, may be lost, and come in at each gateway's admin port."""
+    """Gossip between gateways: small messages that may be lost, received at each gateway's admin port."""
 
-    admin: list[
-        HostPort
-    ] = []  # address:port of each gateway's admin port, by `module.number`, our own too; empty: none
-    word_ms: PositiveFloat = 50  # for a word, connecting included, after which it is lost
-    max_words: Count = 64  # under way at once; more are dropped
+    # address:port of the admin port of each gateway, this one included, by `module.number`; empty: no gossip.
+    admin: list[HostPort] = []
+    word_ms: PositiveFloat = 50  # time limit of a message, including the connect; then it counts as lost
+    max_words: Count = 64  # concurrent messages; further ones are dropped
--- a/stackpitch/settings/model/root.py
+++ b/stackpitch/settings/model/root.py
@@ -11,19 +11,23 @@
 from stackpitch.settings.model.rules import Rule
 from stackpitch.settings.model.traffic import Admin, Customer, Door, Engines, Kind, Load, Logs, Product, Stop
 
-# Settings that a running gateway takes over; all others need a restart, and are told as such.
+# Settings that a running gateway reloads; a change of any other needs a restart, and is reported as such.
 LIVE_SETTINGS = frozenset(
     {"products", "customers", "rules", "utc_offset_min", "weights", "statements", "membership"}
 )
 
 
 class Settings(StrictModel):
+    """All settings of a gateway."""
+
     name: Name = "gateway"
     seed: int = 1
-    roster: str = Field(min_length=1)  # file of the fleet
-    weights: str = ""  # file of weights by server name, over those of the fleet's file; empty: none
-    statements: list[str] = []  # files or folders of routing statements; those marked as guards must hold
-    kept: str = ""  # file where the last good lists and their history are kept for a restart; empty: nowhere
+    roster: str = Field(min_length=1)  # path of the fleet file
+    weights: str = ""  # path of the weights file, which overrides the fleet file's weights; empty: none
+    # Files or directories of routing statements; those marked as guards must hold.
+    statements: list[str] = []
+    # File in which the last good server lists and their history are persisted for a restart; empty: none.
+    kept: str = ""
     membership: Membership = Membership()
     door: Door = Door()
     admin: Admin = Admin()
@@ -34,28 +38,28 @@
     customers: dict[Name, Customer] = {}
     kinds: dict[Name, Kind] = Field(min_length=1)
     rules: list[Rule] = []
-    utc_offset_min: Annotated[int, Field(ge=-1440, le=1440)] = 0  # of the clock that the rules' hours go by
+    utc_offset_min: Annotated[int, Field(ge=-1440, le=1440)] = 0  # offset of the clock that `rules` use
     load: Load = Load()
     duties: Duties = Duties()
     stop: Stop = Stop()
     logs: Logs = Logs()
 
     @model_validator(mode="after")
-    def rules_name_what_is_there(self) -> "Settings":
-        listed = len(self.peers.admin)
-        if listed and (listed != self.module.gateways or self.module.number >= listed):
+    def check_references(self) -> "Settings":
+        peer_count = len(self.peers.admin)
+        if peer_count and (peer_count != self.module.gateways or self.module.number >= peer_count):
             raise ValueError(
-                f"peers.admin: found {listed} entries; allowed: none, or one for each of module.gateways "
+                f"peers.admin: found {peer_count} entries; allowed: none, or one for each of module.gateways "
                 f"({self.module.gateways}), with module.number ({self.module.number}) among them"
             )
         duties = self.duties
-        if duties.voters and (not listed or max(duties.voters) >= listed):
+        if duties.voters and (not peer_count or max(duties.voters) >= peer_count):
             raise ValueError(
-                f"duties.voters: found {duties.voters}; allowed: under {listed}, as many as peers.admin has"
+                f"duties.voters: found {duties.voters}; allowed: under {peer_count}, the length of peers.admin"
             )
         if self.module.number in duties.voters and not duties.file:
             raise ValueError(
-                f"duties.file: missing; gateway {self.module.number} is a voter and has to keep its word"
+                f"duties.file: missing; gateway {self.module.number} is a voter and must persist its promises"
             )
         seen = set[str]()
         for number, rule in enumerate(self.rules):
@@ -67,9 +71,9 @@
                 ("customers", rule.customers, list(self.customers)),
                 ("where.kinds", rule.where.kinds, list(self.kinds)),
             ):
-                for one in named:
-                    if one not in known:
+                for name in named:
+                    if name not in known:
                         raise ValueError(
-                            f"rules.{number}.{field}: found {one!r}; allowed: {', '.join(known) or 'none'}"
+                            f"rules.{number}.{field}: found {name!r}; allowed: {', '.join(known) or 'none'}"
                         )
         return self
--- a/stackpitch/settings/model/rules.py
+++ b/stackpitch/settings/model/rules.py
@@ -1,4 +1,4 @@
-"""Operators' rules on where work goes."""
+"""Operators' routing rules."""
 
 from typing import Annotated, Literal
 
@@ -10,14 +10,14 @@
 
 
 class Hours(StrictModel):
-    """`clock` from and to, as 22:00-06:00; the days are those on which it begins."""
+    """`clock` is the begin and end of the span, as 22:00-06:00; `days` are those on which it begins."""
 
     clock: Clock
     days: list[Literal["mon", "tue", "wed", "thu", "fri", "sat", "sun"]] = []  # empty: every day
 
 
 class Where(StrictModel):
-    """Servers that are meant in each of the ways that say something."""
+    """Selects the servers that match every list that is not empty."""
 
     servers: list[Name] = []
     cells: list[int] = []
@@ -27,11 +27,11 @@
 
 
 class Rule(StrictModel):
-    """An operators' rule on where work goes. It only narrows: none of the five rules can be overridden by it."""
+    """A routing rule. It only narrows the choice of servers, so it can't override any of the five rules."""
 
     name: Annotated[str, Field(min_length=1, max_length=80)]
     how: Literal["only", "prefer", "avoid", "never"]
     where: Where
     products: list[Name] = []  # empty: all
-    customers: list[Name] = []  # empty: all, also none
+    customers: list[Name] = []  # empty: all, also generations without a customer
     hours: list[Hours] = []  # empty: always
