--- a/stackpitch/wire/collect.py
+++ b/stackpitch/wire/collect.py
@@ -1,4 +1,4 @@
-"""Puts a streamed answer together for a client that asked for a whole one."""
+"""Assembles a streamed answer for a client that asked for one that is not streamed."""
 
 from typing import Any
 
@@ -9,23 +9,24 @@
 
 
 class Collector:
-    """Fed the body of a stream, gives the whole answer's body. Memory: the answer's text."""
+    """Fed a stream's body, builds the body of the complete answer. Holds the answer's text in memory."""
 
     def __init__(self, chat: bool) -> None:
         self.chat, self.events = chat, EventParser()
         self.first: dict[str, Any] = {}
-        self.parts: dict[int, list[str]] = {}
-        self.reasons: dict[int, str | None] = {}
+        self.texts: dict[int, list[str]] = {}  # by index of the choice
+        self.finish_reasons: dict[int, str | None] = {}
         self.usage: Any = None
 
     def feed(self, data: bytes) -> None:
-        for one in self.events.feed(data):
-            if one == b"[DONE]":
+        """Takes the next bytes of the stream. Raises ValueError on an event over the parser's bound."""
+        for event_data in self.events.feed(data):
+            if event_data == b"[DONE]":
                 continue
             try:
-                event = decode(one)
+                event = decode(event_data)
             except msgspec.DecodeError:
-                continue  # the engine's own remark; the stream's end tells whether the answer is whole
+                continue  # not JSON: skipped, as the end of the stream decides whether the answer is complete
             if not isinstance(event, dict):
                 continue
             self.first = self.first or event
@@ -33,15 +34,18 @@
             for choice in event.get("choices") or []:
                 index = choice.get("index", 0)
                 text = (choice.get("delta") or {}).get("content") if self.chat else choice.get("text")
-                self.parts.setdefault(index, []).append(text or "")
-                self.reasons[index] = choice.get("finish_reason") or self.reasons.get(index)
+                self.texts.setdefault(index, []).append(text or "")
+                self.finish_reasons[index] = choice.get("finish_reason") or self.finish_reasons.get(index)
 
     def result(self) -> bytes:
+        """The body of the answer from the events so far."""
         choices: list[dict[str, Any]] = []
-        for index in sorted(self.parts):
-            text = "".join(self.parts[index])
+        for index in sorted(self.texts):
+            text = "".join(self.texts[index])
             body = {"message": {"role": "assistant", "content": text}} if self.chat else {"text": text}
-            choices.append({"index": index, **body, "finish_reason": self.reasons[index], "logprobs": None})
+            choices.append(
+                {"index": index, **body, "finish_reason": self.finish_reasons[index], "logprobs": None}
+            )
         return msgspec.json.encode(
             {
                 "id": self.first.get("id", ""),
--- a/stackpitch/wire/decoding.py
+++ b/stackpitch/wire/decoding.py
@@ -1,4 +1,4 @@
-"""JSON that a stranger sent, decoded so that whatever it is costs itself alone."""
+"""Decodes JSON from untrusted peers."""
 
 from typing import Any, TypeVar, overload
 
@@ -12,10 +12,10 @@
 @overload
 def decode(text: bytes | str, *, type: Any = Any) -> Any: ...
 def decode(text: bytes | str, *, type: Any = Any) -> Any:
-    """As `msgspec.json.decode`. Raises msgspec.DecodeError on everything that can't be decoded.
+    """As `msgspec.json.decode`, but raises msgspec.DecodeError on everything that can't be decoded.
 
-    Guards against text nested so deeply that the decoder gives up with a RecursionError, which nobody who expects
-    malformed text would catch.
+    Text that is nested too deeply makes the decoder raise RecursionError, which callers that handle malformed
+    text would not catch.
     """
     try:
         return msgspec.json.decode(text, type=type)
--- a/stackpitch/wire/engine.py
+++ b/stackpitch/wire/engine.py
@@ -1,4 +1,4 @@
-"""The engine protocol: what a leg's request and answer hold. `docs/engine-protocol.md` is its specification."""
+"""The engine protocol: requests and answers of legs. `docs/engine-protocol.md` is its specification."""
 
 from typing import Any, Literal
 
@@ -9,14 +9,16 @@
 
 STATE_HOLD, STATE_RELEASE, HEALTH = "/v1/state/hold", "/v1/state/release", "/health"
 WEIGHTS = "/v1/weights"
-STATE_HEADER = "x-kv-state"  # of a writer's answer: "fetched" if it took the state that the leg named
-VOCABULARY = "x-vocabulary"  # of a leg: the digest of the one that its token ids are written for
+# Header of a writer's answer: "fetched" if it transferred the KV state that the leg named.
+STATE_HEADER = "x-kv-state"
+# Header of a leg: the digest of the vocabulary that its token ids belong to.
+VOCABULARY = "x-vocabulary"
 GENERATE_PATHS = ("/v1/chat/completions", "/v1/completions")
-LegKind = Literal["read", "write", "whole"]
+LegKind = Literal["read", "write", "whole"]  # prefill, decode, both on one server
 
 
 class Transfer(msgspec.Struct, omit_defaults=True):
-    """`kv_transfer_params`: whether this leg reads for a writer, or takes a state that waits at a reader."""
+    """`kv_transfer_params`: a prefill for a writer, or the KV state that a writer fetches from a reader."""
 
     state_id: str
     do_remote_decode: bool = False
@@ -27,17 +29,21 @@
 
 
 class Details(msgspec.Struct):
+    """Details of the prompt's tokens."""
+
     cached_tokens: int = 0
 
 
 class Usage(msgspec.Struct):
+    """Token counts as the engine reports them."""
+
     prompt_tokens: int = 0
     completion_tokens: int = 0
-    prompt_tokens_details: Any = None  # read whole whatever stands there: the answer itself is well
+    prompt_tokens_details: Any = None  # of any type: malformed details don't invalidate the answer
 
     @property
     def cached_tok(self) -> object:
-        """What is told of tokens found kept, as told (`plausible.PlausibilityFilter.cached_tok`)."""
+        """The reported number of cached tokens, unchecked (see `PlausibilityFilter.cached_tok`)."""
         details = self.prompt_tokens_details
         return (
             details.get("cached_tokens", 0)
@@ -48,61 +54,73 @@
         )
 
     def cached_tok_within(self, prompt_tok: int) -> object:
-        """Where the prompt's length is our own reckoning from bytes: what fits the engine's own is no cause for doubt."""
-        found = self.cached_tok
-        return min(found, prompt_tok) if type(found) is int and 0 <= found <= self.prompt_tokens else found
+        """The reported number of cached tokens, capped at `prompt_tok` if it fits the engine's prompt length.
+
+        `prompt_tok` is an estimate from bytes: a count above it is plausible up to the engine's own count.
+        """
+        cached = self.cached_tok
+        return (
+            min(cached, prompt_tok) if type(cached) is int and 0 <= cached <= self.prompt_tokens else cached
+        )
 
 
 class ReadAnswer(msgspec.Struct):
-    """The body of a reader's 200."""
+    """The body of a reader's 200 answer."""
 
     kv_transfer_params: Transfer
     usage: Usage
 
 
 class ErrorBody(msgspec.Struct):
+    """The error in an error answer."""
+
     message: str = ""
     code: str | int | None = None
     type: str | None = None
 
 
 class ErrorAnswer(msgspec.Struct):
+    """The body of an error answer."""
+
     error: ErrorBody
 
 
 class WeightsCall(msgspec.Struct):
-    """Load this version; answered at once, as a look is."""
+    """The body of a call to load this version; like a query, it is answered at once."""
 
     model: str
     version: str
 
 
 class WeightsAnswer(msgspec.Struct):
-    """What it runs on now: versions by model."""
+    """The versions that the engine runs now, by model."""
 
     weights: dict[str, str]
 
 
 class StateCall(msgspec.Struct):
-    """The body of hold and release."""
+    """The body of the hold and release calls."""
 
     state_id: str
     tok: int = 0
 
 
 class HoldAnswer(msgspec.Struct):
+    """The answer to a hold call: whether the engine holds the KV state."""
+
     held: bool
 
 
 class LastEvent(msgspec.Struct):
-    """The event before [DONE], as far as it is looked at."""
+    """The event before [DONE], of which only the usage is decoded."""
 
     usage: Usage | None = None
 
 
 FULL, NO_STATE, DRAINING = "engine_full", "no_state", "engine_draining"
-OTHER_VOCABULARY = "other_vocabulary"  # than the leg was written for
-REFUSALS = {FULL, NO_STATE, DRAINING, OTHER_VOCABULARY}  # codes of a 503 that prove the leg never ran
+OTHER_VOCABULARY = "other_vocabulary"  # the engine's vocabulary differs from that of the leg's token ids
+# Codes of a 503 that prove that the leg never ran.
+REFUSALS = {FULL, NO_STATE, DRAINING, OTHER_VOCABULARY}
 
 
 def leg_request(
@@ -113,7 +131,7 @@
     streamed: bool,
     headers: http.Headers,
 ) -> bytes:
-    """One leg's request: the client's body with the transfer's fields put in."""
+    """The request of a leg: the client's body with the transfer fields added."""
     body = dict(fields)
     body["kv_transfer_params"] = msgspec.Raw(msgspec.json.encode(transfer))
     body["stream"] = msgspec.Raw(b"true" if streamed else b"false")
@@ -127,15 +145,15 @@
 
 
 def parse_read_answer(body: bytes) -> ReadAnswer:
-    """Raises ValueError on a body that is no reader's answer."""
+    """Raises ValueError on a body that is not a reader's answer."""
     try:
         return decode(body, type=ReadAnswer)
-    except msgspec.DecodeError as wrong:
-        raise ValueError(str(wrong)) from None
+    except msgspec.DecodeError as error:
+        raise ValueError(str(error)) from None
 
 
 def refusal_code(status: int, body: bytes) -> str | None:
-    """The code by which an answer proves that the leg never ran; None if it proves nothing."""
+    """The code in an answer that proves that the leg never ran; None if nothing proves it."""
     if status != 503:
         return None
     try:
@@ -146,18 +164,21 @@
 
 
 def last_usage(tail: bytes) -> Usage | None:
-    """Usage from the end of a streamed body: the event before [DONE]; None if it is not there whole."""
+    """Usage from the end of a streamed body: the event before [DONE]; None unless `tail` has all of it."""
     events = tail.rstrip().split(b"\n\n")
-    for one in reversed(events[-3:]):
-        if one.startswith(b"data: {") and b'"usage"' in one:
+    for event in reversed(events[-3:]):
+        if event.startswith(b"data: {") and b'"usage"' in event:
             try:
-                found = decode(one[6:], type=LastEvent).usage
+                usage = decode(event[6:], type=LastEvent).usage
             except msgspec.DecodeError:
                 return None
-            if found is not None:
-                return found
+            if usage is not None:
+                return usage
     return None
 
 
-def error_body(message: str, code: str, kind: str) -> bytes:
-    return msgspec.json.encode({"error": {"message": message, "type": kind, "param": None, "code": code}})
+def error_body(message: str, code: str, error_type: str) -> bytes:
+    """The body of an error answer."""
+    return msgspec.json.encode(
+        {"error": {"message": message, "type": error_type, "param": None, "code": code}}
+    )
--- a/stackpitch/wire/http.py
+++ b/stackpitch/wire/http.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 both ways over httptools (llhttp): one reader object for each message, plain builders for what is sent.
+"""HTTP/1.1 over httptools (llhttp): one parser object for each message, plain functions that build messages.
 
-A reader is fed what came in and tells how far the message is. It bounds head, body, and what is neither (a chunk's
-extensions, trailers); what it does not allow is a `BadMessage` with the status to answer. Bytes after a complete message
-are noted (`extra`), never parsed on.
+A parser is fed the received bytes and tracks how far the message is. It bounds the head, the body, and what
+is neither (chunk extensions, trailers). A violation raises `BadMessage` with the status to answer. Bytes
+after a complete message are only noted (`extra_bytes`), not parsed.
 """
 
 from collections.abc import Collection, Mapping
@@ -27,8 +27,8 @@
     504: "Gateway Timeout",
 }
 Headers = Collection[tuple[str, str]]
-# Fields that speak of one connection, or of how this message is framed on it; and of what whoever passes it on can read.
-NOT_PASSED_ON = frozenset(
+# Hop-by-hop and framing fields, and those that state what the forwarding side itself accepts.
+NOT_FORWARDED = frozenset(
     {
         "accept-encoding",
         "connection",
@@ -46,56 +46,59 @@
     }
 )
 LAST_CHUNK = b"0\r\n\r\n"
-MAX_URL = 2048
-MAX_FIELDS = (
-    128  # of a head and its trailers: a head of a thousand small ones costs the others milliseconds each
-)
+MAX_URL = 2048  # bytes
+# Fields of a head and its trailers together: parsing a thousand small ones delays all other connections by
+# milliseconds.
+MAX_FIELDS = 128
 
 
 class BadMessage(Exception):
-    """A message that is not allowed; `status` is what a server answers to it."""
+    """A message that violates the protocol or a bound; `status` is what a server answers."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
         self.status = status
 
 
-class _Reader:
-    """What both directions share. Repeated headers are joined by a comma, names are in lower case."""
+class _MessageParser:
+    """Common to requests and responses.
+
+    Field names are in lower case; repeated fields are joined by a comma.
+    """
 
     def __init__(self, max_head: int, max_body: int) -> None:
         self.max_head, self.max_body = max_head, max_body
         self.headers: dict[str, str] = {}
         self.trailers: dict[str, str] = {}
-        self.pieces: list[bytes] = []  # of the body, from the last feed (responses) or from all (requests)
+        self.pieces: list[bytes] = []  # of the body: of the latest feed (responses) or of all (requests)
         self.head_done = self.complete = self.extra_bytes = self.keep_alive = False
-        self.seen = self.body_size = self.fields = self.field_bytes = 0
-        self.beside = 0  # bytes since some of the body, or a whole chunk, came
-        self.begun = False
+        self.head_bytes = self.body_size = self.field_count = self.field_bytes = 0
+        self.overhead_bytes = 0  # bytes since the latest body data or end of the head
+        self.started = False
 
     def on_message_begin(self) -> None:
-        if self.begun:
+        if self.started:
             self.extra_bytes = True
-        self.begun = True
+        self.started = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.extra_bytes:
             return
-        self.fields += 1
-        if self.fields > MAX_FIELDS:
+        self.field_count += 1
+        if self.field_count > MAX_FIELDS:
             raise BadMessage(431, f"over {MAX_FIELDS} fields")
         self.field_bytes += len(name) + len(value)
-        if self.field_bytes > self.max_head and not self.head_done:  # also where all of it came at once
+        if self.field_bytes > self.max_head and not self.head_done:  # also if the whole head came in one feed
             raise BadMessage(431, f"head is over {self.max_head} bytes")
-        into = self.trailers if self.head_done else self.headers
+        target = self.trailers if self.head_done else self.headers
         key, text = name.decode("latin-1").lower(), value.decode("latin-1").strip()
-        into[key] = f"{into[key]}, {text}" if key in into else text
+        target[key] = f"{target[key]}, {text}" if key in target else text
 
     def on_body(self, body: bytes) -> None:
         if self.extra_bytes:
             return
         self.body_size += len(body)
-        self.beside = 0
+        self.overhead_bytes = 0
         if self.body_size > self.max_body:
             raise BadMessage(413, f"body is over {self.max_body} bytes")
         self.pieces.append(body)
@@ -104,42 +107,42 @@
         if not self.extra_bytes:
             self.complete = True
 
-    def _declared(self) -> None:
-        self.beside = 0
+    def _check_declared_length(self) -> None:
+        self.overhead_bytes = 0
         length = self.headers.get("content-length", "0")
         if length.isdigit() and int(length) > self.max_body:
             raise BadMessage(413, f"body of {length} bytes is over {self.max_body}")
 
-    def _failed(self, wrong: Exception) -> None:
-        cause = wrong.__context__ or wrong.__cause__
-        if isinstance(cause, BadMessage):  # raised by one of the callbacks here
+    def _handle_parser_error(self, error: Exception) -> None:
+        cause = error.__context__ or error.__cause__
+        if isinstance(cause, BadMessage):  # raised by one of the callbacks above
             raise cause from None
         if not self.complete:
-            raise BadMessage(400, f"not HTTP/1.1: {wrong}") from None
-        self.extra_bytes = True  # the message was whole before what is wrong began
+            raise BadMessage(400, f"not HTTP/1.1: {error}") from None
+        self.extra_bytes = True  # the message was complete before the invalid bytes
 
     def _feed(self, parser: httptools.HttpRequestParser | httptools.HttpResponseParser, data: bytes) -> None:
         if self.complete:
             self.extra_bytes = self.extra_bytes or bool(data)
             return
-        self.beside += len(data)
+        self.overhead_bytes += len(data)
         try:
             parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             raise BadMessage(400, "this port does not upgrade connections") from None
-        except httptools.HttpParserError as wrong:
-            self._failed(wrong)
+        except httptools.HttpParserError as error:
+            self._handle_parser_error(error)
             return
         if not self.head_done:
-            self.seen += len(data)
-            if self.seen > self.max_head:
+            self.head_bytes += len(data)
+            if self.head_bytes > self.max_head:
                 raise BadMessage(431, f"head is over {self.max_head} bytes")
-        elif self.beside > self.max_head and not self.complete:
+        elif self.overhead_bytes > self.max_head and not self.complete:
             raise BadMessage(431, f"over {self.max_head} bytes that are neither head nor body")
 
 
-class RequestParser(_Reader):
-    """Reads one request. `body()` is whole once `complete`."""
+class RequestParser(_MessageParser):
+    """Parses one request. `body()` is the whole body once `complete` is set."""
 
     def __init__(self, max_head: int, max_body: int) -> None:
         super().__init__(max_head, max_body)
@@ -158,9 +161,10 @@
         self.head_done = True
         self.method = self.parser.get_method().decode()
         self.keep_alive = self.parser.should_keep_alive()
-        self._declared()
+        self._check_declared_length()
 
     def feed(self, data: bytes) -> None:
+        """Parses received bytes. Raises BadMessage."""
         self._feed(self.parser, data)
 
     @property
@@ -175,23 +179,23 @@
         return self.pieces[0] if len(self.pieces) == 1 else b"".join(self.pieces)
 
 
-class ResponseParser(_Reader):
-    """Reads one response; after each `feed`, `pieces` holds the body's part of that feed alone.
+class ResponseParser(_MessageParser):
+    """Parses one response; after each `feed`, `pieces` holds the body data of that feed only.
 
-    `aligned` before and after a feed means that it held whole chunks, which may be passed on as they came.
+    If `at_chunk_boundary` is set before and after a feed, the feed held whole chunks, which may be forwarded
+    as is.
     """
 
     def __init__(self, max_head: int, max_body: int) -> None:
         super().__init__(max_head, max_body)
         self.status = self.open_chunks = 0
-        self.at_chunk_boundary = False  # the last feed ended between two chunks
+        self.at_chunk_boundary = False  # the latest feed ended between two chunks
         self.parser = httptools.HttpResponseParser(self)
 
     def on_message_complete(self) -> None:
-        if (
-            self.begun and not self.head_done and not self.extra_bytes
-        ):  # a 1xx: the answer itself is still to come
-            self.begun = False
+        # A complete message without its head is a 1xx: the final response is still to come.
+        if self.started and not self.head_done and not self.extra_bytes:
+            self.started = False
             self.headers.clear()
         else:
             super().on_message_complete()
@@ -204,9 +208,9 @@
             return
         self.head_done = True
         self.keep_alive = self.parser.should_keep_alive()
-        self._declared()
+        self._check_declared_length()
         if "content-length" not in self.headers and not self.chunked and self.status != 204:
-            raise BadMessage(502, "answer has neither a length nor chunks")
+            raise BadMessage(502, "response has neither content-length nor chunked encoding")
 
     def on_chunk_header(self) -> None:
         self.open_chunks += 1
@@ -219,44 +223,54 @@
         return self.headers.get("transfer-encoding", "").lower() == "chunked"
 
     def feed(self, data: bytes) -> None:
+        """Parses received bytes. Raises BadMessage."""
         self.pieces = []
         if self.head_done and not self.complete:
-            self.beside += len(data)
+            self.overhead_bytes += len(data)
             try:
-                self.parser.feed_data(data)  # the way of nearly all feeds, so without a further call
+                self.parser.feed_data(data)  # the path of nearly all feeds, so without a further call
                 self.at_chunk_boundary = not self.open_chunks and data.endswith(b"\r\n")
-                if self.beside > self.max_head and not self.complete:
+                if self.overhead_bytes > self.max_head and not self.complete:
                     raise BadMessage(502, f"over {self.max_head} bytes that are neither head nor body")
                 return
-            except httptools.HttpParserError as wrong:
-                self._failed(wrong)
+            except httptools.HttpParserError as error:
+                self._handle_parser_error(error)
                 return
         self._feed(self.parser, data)
         self.at_chunk_boundary = not self.open_chunks and data.endswith(b"\r\n")
 
 
 def head(status: int, headers: Headers) -> bytes:
+    """The head of a response."""
     lines = [f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}"]
     lines += [f"{name}: {value}" for name, value in headers]
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1", "replace")
 
 
-def response(status: int, body: bytes, headers: Headers = (), kind: str = "application/json") -> bytes:
-    return head(status, [("content-type", kind), ("content-length", str(len(body))), *headers]) + body
+def response(
+    status: int, body: bytes, headers: Headers = (), content_type: str = "application/json"
+) -> bytes:
+    """A response with its body."""
+    return head(status, [("content-type", content_type), ("content-length", str(len(body))), *headers]) + body
 
 
 def end_to_end(headers: Mapping[str, str]) -> list[tuple[str, str]]:
-    """The fields of a request that go on to whoever serves it, in the order in which they came. Raises BadMessage on a value
-    with a line end in it, which would begin a field of its own there."""
+    """The fields of a request that are forwarded, in the order received.
+
+    Raises BadMessage on a value with a line break, which would begin a field of its own at the server.
+    """
     if any("\n" in value or "\r" in value for value in headers.values()):
-        raise BadMessage(400, "a field's value goes over a line's end")
-    named = {one.strip().lower() for one in headers.get("connection", "").split(",")}
+        raise BadMessage(400, "a header field's value has a line break")
+    hop_by_hop = {name.strip().lower() for name in headers.get("connection", "").split(",")}
     return [
-        (name, value) for name, value in headers.items() if name not in NOT_PASSED_ON and name not in named
+        (name, value)
+        for name, value in headers.items()
+        if name not in NOT_FORWARDED and name not in hop_by_hop
     ]
 
 
 def request(method: str, target: str, host: str, body: bytes, headers: Headers = ()) -> bytes:
+    """A request with its body; its content type is JSON unless `headers` has another."""
     lines = [f"{method} {target} HTTP/1.1", f"host: {host}"]
     lines += [f"{name}: {value}" for name, value in headers]
     if body or method != "GET":
@@ -267,9 +281,10 @@
 
 
 def chunk(data: bytes) -> bytes:
+    """One chunk of chunked transfer encoding."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def one_line(text: str, most: int = 200) -> str:
-    """For header values: no control characters, bounded."""
-    return "".join(ch if ch.isprintable() and ord(ch) < 256 else "?" for ch in text)[:most]
+def one_line(text: str, max_length: int = 200) -> str:
+    """The text as a header value: without control characters, at most `max_length` characters."""
+    return "".join(ch if ch.isprintable() and ord(ch) < 256 else "?" for ch in text)[:max_length]
--- a/stackpitch/wire/orca.py
+++ b/stackpitch/wire/orca.py
@@ -1,8 +1,8 @@
 """ORCA load reports in the text forms of the `endpoint-load-metrics` header: `JSON {...}` and `TEXT a=1,b=2`.
 
-Source: Envoy's documentation of open request cost aggregation. The binary form is not read here. Fields come out
-flat, maps with a dot: `named_metrics.queue`. Values that are no finite number are an error, as half a report
-would mislead.
+Source: Envoy's documentation of Open Request Cost Aggregation. The binary form is not supported. Parsed
+fields are flat, those of maps with a dot: `named_metrics.queue`. A value that is not a finite number makes
+the whole report invalid, as a partial one would mislead.
 """
 
 import math
@@ -17,7 +17,7 @@
 
 
 class BadReport(ValueError):
-    """A load report that can't be read; its text says which field."""
+    """A load report that can't be parsed; the message names the field."""
 
 
 def _number(name: str, value: object) -> float:
@@ -31,38 +31,39 @@
 
 
 def parse(text: str) -> dict[str, float]:
-    """Field names to figures."""
+    """The value of each field. Raises BadReport."""
     form, _, rest = text.strip().partition(" ")
     if form == "JSON":
         return _parse_json(rest)
     if form == "TEXT":
-        found = {}
-        for part in filter(None, (one.strip() for one in rest.split(","))):
+        fields = {}
+        for part in filter(None, (item.strip() for item in rest.split(","))):
             name, equals, value = part.partition("=")
             if not equals or not name:
-                raise BadReport(f"{part[:40]!r} is no name=value")
-            found[name.strip()] = _number(name, value.strip())
-        return found
+                raise BadReport(f"{part[:40]!r} is not name=value")
+            fields[name.strip()] = _number(name, value.strip())
+        return fields
     raise BadReport(f"form is {form[:20]!r}, JSON and TEXT are allowed")
 
 
 def _parse_json(text: str) -> dict[str, float]:
     try:
         tree = decode(text)
-    except msgspec.DecodeError as wrong:
-        raise BadReport(f"not JSON: {wrong}") from None
+    except msgspec.DecodeError as error:
+        raise BadReport(f"not JSON: {error}") from None
     if not isinstance(tree, dict):
         raise BadReport("not a JSON object")
-    found = {}
+    fields = {}
     for name, value in tree.items():
         if name in MAPS and isinstance(value, dict):
-            found.update({f"{name}.{key}": _number(f"{name}.{key}", one) for key, one in value.items()})
+            fields.update({f"{name}.{key}": _number(f"{name}.{key}", item) for key, item in value.items()})
         else:
-            found[name] = _number(name, value)
-    return found
+            fields[name] = _number(name, value)
+    return fields
 
 
 def as_json(fields: Mapping[str, float]) -> str:
+    """The header's value in the JSON form."""
     tree: dict[str, object] = {}
     for name, value in fields.items():
         group, dot, key = name.partition(".")
@@ -76,4 +77,5 @@
 
 
 def as_text(fields: Mapping[str, float]) -> str:
+    """The header's value in the TEXT form."""
     return "TEXT " + ",".join(f"{name}={value:g}" for name, value in fields.items())
--- a/stackpitch/wire/platform.py
+++ b/stackpitch/wire/platform.py
@@ -1,6 +1,6 @@
-"""The platform's protocol without I/O: facts in heads, outcomes of answers, load lines, events, lists of servers.
+"""The platform's protocol without I/O: request heads, answers, load lines, events, lists of servers.
 
-Every reader here bounds what a stranger can make large. What it does not allow is a `BadMessage` with the status to
+Every parser bounds what an untrusted peer can make large. A violation raises `BadMessage` with the status to
 answer.
 """
 
@@ -15,18 +15,18 @@
 from stackpitch.wire.decoding import decode
 from stackpitch.wire.http import BadMessage
 
-DEADLINE_HEADER = "req-deadline-ms"  # how long whoever sends will wait
+DEADLINE_HEADER = "req-deadline-ms"  # how long the sender waits for the answer
 READY_PATH, HEALTHY_PATH, TARGETS_PATH, LEASES_PATH = "/-/ready", "/-/healthy", "/api/targets", "/kv/leases/"
 ID = re.compile(r"[0-9a-f]{16}")
 NAME = re.compile(r"[!-~]{1,100}")
-MOST_MS, MOST_TOK = 3_600_000, 10_000_000
+MAX_MS, MAX_TOK = 3_600_000, 10_000_000
 LOAD_COMMENT, USAGE = b": Srv-Load:", b'"usage"'
-# Fields of a load report by the words of the settings and by those on the sockets.
+# Position in a load report by the field's name: the names in the settings and those in load lines.
 LOAD_FIELDS = {"x0": 0, "utilization": 1, "util": 1, "backlog": 2, "queue": 2}
 
 
 class RequestHead(msgspec.Struct, frozen=True):
-    """What a request's head says. Times in ms, lengths in tokens."""
+    """The fields of a request's head. Times in ms, lengths in tokens."""
 
     name: str
     product: str
@@ -41,148 +41,161 @@
     resumed: bool
 
 
-def _whole(name: str, text: str, most: int) -> int:
-    if not (text.isascii() and text.isdigit() and len(text) <= 12) or int(text) > most:
-        raise BadMessage(400, f"{name}: found {text[:30]!r}; allowed: 0 to {most}")
+def _integer(name: str, text: str, maximum: int) -> int:
+    if not (text.isascii() and text.isdigit() and len(text) <= 12) or int(text) > maximum:
+        raise BadMessage(400, f"{name}: found {text[:30]!r}; allowed: 0 to {maximum}")
     return int(text)
 
 
-def _named(headers: Mapping[str, str], name: str) -> str | None:
-    found = headers.get(name)
-    if found is not None and not NAME.fullmatch(found):
-        raise BadMessage(400, f"{name}: found {found[:30]!r}; a word is wanted")
-    return found
+def _optional_name(headers: Mapping[str, str], name: str) -> str | None:
+    value = headers.get(name)
+    if value is not None and not NAME.fullmatch(value):
+        raise BadMessage(
+            400, f"{name}: found {value[:30]!r}; allowed: 1 to 100 printable ASCII characters, no spaces"
+        )
+    return value
 
 
 def parse_request_head(headers: Mapping[str, str]) -> RequestHead:
-    """From a head's fields, names in lower case. Raises BadMessage."""
+    """Parses the fields of a head; their names are in lower case. Raises BadMessage."""
     name = headers.get("req-id", "")
     if not ID.fullmatch(name):
-        raise BadMessage(400, f"req-id: found {name[:30]!r}; 16 hex digits are wanted")
-    product = _named(headers, "req-kind")
+        raise BadMessage(400, f"req-id: found {name[:30]!r}; allowed: 16 hex digits")
+    product = _optional_name(headers, "req-kind")
     if product is None:
         raise BadMessage(400, "req-kind is missing")
-    limit = _whole(DEADLINE_HEADER, headers.get(DEADLINE_HEADER, ""), MOST_MS)
+    limit = _integer(DEADLINE_HEADER, headers.get(DEADLINE_HEADER, ""), MAX_MS)
     extra: dict[str, str] = {}
-    for part in filter(None, (one.strip() for one in headers.get("req-extra", "").split(","))):
+    for part in filter(None, (item.strip() for item in headers.get("req-extra", "").split(","))):
         key, equals, value = part.partition("=")
         if not equals or key in extra:
-            raise BadMessage(400, f"req-extra: found {part[:30]!r}; name=value, once each, is wanted")
+            raise BadMessage(400, f"req-extra: found {part[:30]!r}; allowed: name=value, each name once")
         extra[key] = value
     shared = extra.get("prefix")
     if shared is not None and not NAME.fullmatch(shared):
-        raise BadMessage(400, "req-extra: prefix is no word")
+        raise BadMessage(400, "req-extra: prefix: allowed: 1 to 100 printable ASCII characters, no spaces")
     lengths = [
-        _whole(f"req-extra {key}", extra.get(key, "0"), MOST_TOK)
+        _integer(f"req-extra {key}", extra.get(key, "0"), MAX_TOK)
         for key in ("prefix_len", "prompt_len", "max_out")
     ]
-    asked = headers.get("req-retry", "0")
+    retry = headers.get("req-retry", "0")
     return RequestHead(
         name,
         product,
-        _named(headers, "req-owner"),
-        _named(headers, "req-key"),
+        _optional_name(headers, "req-owner"),
+        _optional_name(headers, "req-key"),
         limit,
         shared,
         lengths[0] if shared is not None else 0,
         lengths[1],
         lengths[2],
-        asked == "1",
-        asked == "again",
+        retry == "1",
+        retry == "again",
     )
 
 
-def classify_answer(role: Role, status: int, declined: bool, whole: bool) -> tuple[Outcome, bool]:
-    """Outcome of an answer that came whole, and whether there was no state to fetch. `whole`: a good body of its kind.
+def classify_answer(role: Role, status: int, declined: bool, valid: bool) -> tuple[Outcome, bool]:
+    """The outcome of a complete answer, and whether the KV state to fetch was missing.
 
-    Only what carries the mark of a refusal never ran.
+    `declined`: the answer is marked as a refusal; only such a leg never ran. `valid`: the body is valid for
+    the role.
     """
     if declined and status in (410, 503, 504):
         return "full", status == 410
     if role == "reader":
-        return ("read" if status == 202 and whole else "error"), False
-    return ("streamed" if status == 200 and whole else "error"), False
+        return ("read" if status == 202 and valid else "error"), False
+    return ("streamed" if status == 200 and valid else "error"), False
 
 
-class _Read(msgspec.Struct):
-    cached_tokens: Any = 0  # read whole whatever stands there: the read itself is well
+class _ReadAnswer(msgspec.Struct):
+    cached_tokens: Any = 0  # of any type: a malformed count doesn't invalidate the answer
 
 
 def parse_cached_tokens(body: bytes) -> object | None:
-    """The cached token count that a reader reports, unchecked (see `PlausibilityFilter.cached_tok`); None for a malformed
-    body."""
+    """The number of cached tokens that a reader reports, unchecked (see `PlausibilityFilter.cached_tok`).
+
+    None if the body is not a reader's answer.
+    """
     try:
-        found = decode(body, type=_Read).cached_tokens
+        cached = decode(body, type=_ReadAnswer).cached_tokens
     except msgspec.DecodeError:
         return None
-    return "" if found is None else found
+    return "" if cached is None else cached
 
 
 def parse_load_report(text: str, plausibility: PlausibilityFilter) -> Report | None:
-    """A load line, `name=value` set apart by commas; None if it says nothing that is known. Raises ValueError if nothing
-    in it can be used."""
-    told: list[str | None] = [None, None, None]
+    """Parses a load line: `name=value` separated by commas.
+
+    None if it has no known field. Raises ValueError if it is malformed or none of its values can be used.
+    """
+    values: list[str | None] = [None, None, None]
     for part in text.strip()[:500].split(","):
         name, _, value = part.partition("=")
-        place = LOAD_FIELDS.get(name.strip())
-        if place is not None:
-            told[place] = value
+        position = LOAD_FIELDS.get(name.strip())
+        if position is not None:
+            values[position] = value
         elif not name.strip():
-            raise ValueError(f"{part[:30]!r} is no name=value")
-    if told == [None, None, None]:
+            raise ValueError(f"{part[:30]!r} is not name=value")
+    if values == [None, None, None]:
         return None
-    found = plausibility.report(*told)
-    if found == Report():
-        raise ValueError(f"nothing in {text[:60]!r} can be")
-    return found
+    report = plausibility.report(*values)
+    if report == Report():
+        raise ValueError(f"no plausible value in {text[:60]!r}")
+    return report
 
 
 class EventParser:
-    """Takes a stream's body piece by piece and gives whole events as they came. Bounded by `most` bytes an event, and by
-    so many `parts`, events and comments, where it was said how long the answer may be."""
+    """Splits a stream's body, fed piece by piece, into whole events, which are returned unchanged.
 
-    def __init__(self, most: int = 1 << 16, parts: int | None = None) -> None:
-        self.most, self.rest, self.parts = most, b"", parts
+    Bounds an event to `max_bytes`, and events and comments together to `parts` if the answer's length is
+    limited.
+    """
+
+    def __init__(self, max_bytes: int = 1 << 16, parts: int | None = None) -> None:
+        self.max_bytes, self.rest, self.parts = max_bytes, b"", parts
         self.events = self.comments = 0
         self.load: str | None = None
-        self.usage = b""  # the last event that holds usage
+        self.usage = b""  # the latest event with usage
         self.done = False
 
     def feed(self, pieces: Sequence[bytes]) -> bytes:
-        """Raises BadMessage on what is no event, and on one over the bound."""
+        """The bytes of the events that the pieces complete.
+
+        Raises BadMessage on an invalid or too large event.
+        """
         data = self.rest + b"".join(pieces) if self.rest else b"".join(pieces)
         if not data:
             return b""
-        cut = data.rfind(b"\n\n") + 2
-        whole, self.rest = (data[:cut], data[cut:]) if cut >= 2 else (b"", data)
+        end = data.rfind(b"\n\n") + 2
+        complete, self.rest = (data[:end], data[end:]) if end >= 2 else (b"", data)
         if self.rest and not b"data:".startswith(self.rest[:5]) and not self.rest.startswith(b":"):
-            raise BadMessage(502, f"no event: {self.rest[:30]!r}")
-        if len(self.rest) > self.most:
-            raise BadMessage(502, f"event is over {self.most} bytes")
-        for one in whole.split(b"\n\n")[:-1]:
-            self._see(one)
-        return whole
-
-    def _see(self, one: bytes) -> None:
+            raise BadMessage(502, f"not an event: {self.rest[:30]!r}")
+        if len(self.rest) > self.max_bytes:
+            raise BadMessage(502, f"event is over {self.max_bytes} bytes")
+        for event in complete.split(b"\n\n")[:-1]:
+            self._track(event)
+        return complete
+
+    def _track(self, event: bytes) -> None:
         if self.parts is not None and self.events + self.comments >= self.parts:
             raise BadMessage(502, f"over {self.parts} events, more than the answer may have")
-        if one.startswith(b":"):
+        if event.startswith(b":"):
             self.comments += 1
-            if one.startswith(LOAD_COMMENT):
-                self.load = one[len(LOAD_COMMENT) :].decode("latin-1").strip()
+            if event.startswith(LOAD_COMMENT):
+                self.load = event[len(LOAD_COMMENT) :].decode("latin-1").strip()
             return
-        if one == b"data: [DONE]":
+        if event == b"data: [DONE]":
             self.done = True
-        elif one.startswith(b"data: {") and one.endswith(b"}"):
-            if USAGE in one:
-                self.usage = one
+        elif event.startswith(b"data: {") and event.endswith(b"}"):
+            if USAGE in event:
+                self.usage = event
         else:
-            raise BadMessage(502, f"no event: {one[:30]!r}")
+            raise BadMessage(502, f"not an event: {event[:30]!r}")
         self.events += 1
 
 
 class Member(msgspec.Struct):
-    """One server in a list of discovery's."""
+    """One server in a list from service discovery."""
 
     id: str
     phase: str
@@ -195,7 +208,10 @@
 
 
 class ServerList(msgspec.Struct):
-    """A list, whole or of what changed. `bad`: members that can't be read, by id as far as it can, and why."""
+    """A list of servers, complete or of changes.
+
+    `bad`: the id, if it is readable, and error of each malformed member.
+    """
 
     revision: int = 0
     complete: bool = False
@@ -203,32 +219,33 @@
     bad: list[tuple[str, str]] = []
 
 
-class _Unread(msgspec.Struct):
+class _RawServerList(msgspec.Struct):
     revision: int = 0
     complete: bool = False
     members: list[msgspec.Raw] = []
 
 
-class _Named(msgspec.Struct):
+class _MemberId(msgspec.Struct):
     id: str = ""
     phase: str = ""
 
 
 def parse_server_list(body: bytes) -> ServerList:
-    """One member that can't be read costs that member alone. Raises ValueError where the list itself can't be."""
+    """Parses a list; a malformed member does not affect the others. Raises ValueError on a malformed list."""
     try:
-        unread = decode(body, type=_Unread)
-    except msgspec.DecodeError as wrong:
-        raise ValueError(str(wrong)) from None
-    found = ServerList(unread.revision, unread.complete)
-    for raw in unread.members:
+        raw_list = decode(body, type=_RawServerList)
+    except msgspec.DecodeError as error:
+        raise ValueError(str(error)) from None
+    servers = ServerList(raw_list.revision, raw_list.complete)
+    for raw in raw_list.members:
         try:
-            found.members.append(decode(raw, type=Member))
-        except msgspec.DecodeError as wrong:
+            servers.members.append(decode(raw, type=Member))
+        except msgspec.DecodeError as error:
             try:
-                named = decode(raw, type=_Named)
-                name = named.id if named.phase == "up" else ""  # what drains or is gone keeps no entry
+                identity = decode(raw, type=_MemberId)
+                # A member that drains or is gone needs no entry.
+                name = identity.id if identity.phase == "up" else ""
             except msgspec.DecodeError:
                 name = ""
-            found.bad.append((name[:100], str(wrong)))
-    return found
+            servers.bad.append((name[:100], str(error)))
+    return servers
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -89,7 +89,7 @@
     "text, named",
     [
         ("BIN xyz", "form is 'BIN'"),
-        ("TEXT a", "'a' is no name=value"),
+        ("TEXT a", "'a' is not name=value"),
         ("TEXT a=nan", "a is 'nan'"),
         ("JSON [1]", "not a JSON object"),
         ("JSON {", "not JSON"),
