--- a/stackpitch/wire/http.py
+++ b/stackpitch/wire/http.py
@@ -261,7 +261,7 @@
     """
     if any("\n" in value or "\r" in value for value in headers.values()):
         raise BadMessage(400, "a header field's value has a line break")
-    hop_by_hop = {name.strip().lower() for name in headers.get("connection", "").split(",")}
+    hop_by_hop = {token.strip().lower() for token in headers.get("connection", "").split(",")}
     return [
         (name, value)
         for name, value in headers.items()
--- a/stackpitch/wire/platform.py
+++ b/stackpitch/wire/platform.py
@@ -140,7 +140,7 @@
         return None
     report = plausibility.report(*values)
     if report == Report():
-        raise ValueError(f"no plausible value in {text[:60]!r}")
+        raise ValueError(f"no value in {text[:60]!r} is plausible")
     return report
 
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -15,7 +15,7 @@
 
 import pytest
 from platform_stage import SETTINGS
-from test_benchlink import ASK, CONFIG, GEN, START, play
+from test_benchlink import ASK, CONFIG, GEN, START, run_batches
 
 from stackpitch.benchlink.codec import WireError
 from stackpitch.gateway.engines import Engines
@@ -208,7 +208,7 @@
 )
 def test_the_adapter_names_the_setting_that_cannot_be_used(changes: dict[str, Any], named: str) -> None:
     with pytest.raises(WireError) as wrong:
-        play([f"PROVISION 7 {json.dumps(changed(CONFIG, changes))}"])
+        run_batches([f"PROVISION 7 {json.dumps(changed(CONFIG, changes))}"])
     assert str(wrong.value) == f"line 3: PROVISION field {named} is malformed"
 
 
@@ -226,7 +226,7 @@
         "ROSTER_CHANGE Persisted 1 1",
         f"ROW w a {kind} 0 in_service 1 0",
     ]
-    assert play(start, [ASK])[1][0].startswith(f"ASSIGN {GEN} w ")
+    assert run_batches(start, [ASK])[1][0].startswith(f"ASSIGN {GEN} w ")
 
 
 # What servers tell.
@@ -389,7 +389,7 @@
     ],
 )
 def test_the_adapter_counts_what_cannot_be(usage: str, counted: str | None) -> None:
-    said = play(START, [ASK], [f"COMPLETED {GEN} 0 r prefilled 20.5 0 7 {usage}"])[2]
+    said = run_batches(START, [ASK], [f"COMPLETED {GEN} 0 r prefilled 20.5 0 7 {usage}"])[2]
     assert [line for line in said if line.startswith("RECORD")] == (
         [f"RECORD implausible last=r {counted}"] if counted else []
     )
@@ -408,7 +408,7 @@
     ],
 )
 def test_the_adapter_counts_kept_tokens_that_cannot_be(detail: str, counted: str | None) -> None:
-    said = play(START, [ASK], [f"COMPLETED {GEN} 0 r prefilled 20.5 0 {detail} -"])[2]
+    said = run_batches(START, [ASK], [f"COMPLETED {GEN} 0 r prefilled 20.5 0 {detail} -"])[2]
     assert [line for line in said if line.startswith("RECORD")] == (
         [f"RECORD implausible last=r {counted}"] if counted else []
     )
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter on the wire: what it answers, and how it stops on what the wire does not allow."""
+"""The simulator adapter: its replies, and the errors that it ends with on invalid input."""
 
 import io
 import json
@@ -38,8 +38,8 @@
 ASK = f"INGRESS {GEN} - - chat 100 - 8000.25 - - 50 - -"
 
 
-def play(*batches: list[str], who: int = 3) -> list[list[str]]:
-    """What is answered to each batch, between its AT and its EOR."""
+def run_batches(*batches: list[str], who: int = 3) -> list[list[str]]:
+    """The lines of the reply to each batch, without its AT and EOR."""
     text = ""
     for number, lines in enumerate(batches, 1):
         text += "\n".join([f"BATCH {7000 + number}.5 {number}", f"SWITCH_TO {who}", *lines, "EOF_BATCH", ""])
@@ -47,13 +47,13 @@
     serve(io.BytesIO(text.encode()), sink)
     replies = sink.getvalue().decode().split("EOR ")[:-1]
     return [
-        [line for line in reply.splitlines()[1 if at else 0 :] if not line.startswith("AT")]
-        for at, reply in enumerate(replies)
+        [line for line in reply.splitlines()[1 if position else 0 :] if not line.startswith("AT")]
+        for position, reply in enumerate(replies)
     ]
 
 
-def test_a_generation_is_read_written_and_forgotten() -> None:
-    said = play(
+def test_a_generation_is_read_written_and_removed() -> None:
+    replies = run_batches(
         START,
         [ASK],
         [f"COMPLETED {GEN} 0 r prefilled 20.5 0 7 -"],
@@ -61,25 +61,27 @@
         [f"COMPLETED {GEN} 1 w pass 90 1 - utilization:0.5,x0:0.25"],
         [f"LEFT {GEN}"],
     )
-    assert said[0] == ["KEEP_INFORMED 1"]
-    assert said[1][0].startswith(f"ASSIGN {GEN} r ")
-    wait, assign = said[2]
-    assert assign == f"ASSIGN {GEN} w 996.7"  # never past 8000.2, the limit in whole tenths
-    assert wait == "TIMER 285.0 1"  # what was read is released then, should nobody have taken it
-    assert said[3:] == [[], [], []]
+    assert replies[0] == ["KEEP_INFORMED 1"]
+    assert replies[1][0].startswith(f"ASSIGN {GEN} r ")
+    wait, assign = replies[2]
+    assert assign == f"ASSIGN {GEN} w 996.7"  # never past 8000.2, the time limit in whole tenths
+    assert wait == "TIMER 285.0 1"  # the KV state is released then if no writer has fetched it
+    assert replies[3:] == [[], [], []]
 
 
-def test_a_new_start_forgets_all() -> None:
-    assert play(START, [ASK], ["CRASH_NOW", *START], [f"COMPLETED {GEN} 0 r prefilled 20 0 - -"])[3] == []
+def test_a_restart_discards_all_state() -> None:
+    assert (
+        run_batches(START, [ASK], ["CRASH_NOW", *START], [f"COMPLETED {GEN} 0 r prefilled 20 0 - -"])[3] == []
+    )
 
 
-def test_an_exception_in_the_module_becomes_the_fault_message(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_the_module_becomes_a_fault_message(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("stackpitch.brain.Reader.take", lambda *_: 1 // 0)
-    assert play(START, [ASK])[1][0].startswith("FAULT ZeroDivisionError at ")
+    assert run_batches(START, [ASK])[1][0].startswith("FAULT ZeroDivisionError at ")
 
 
 @pytest.mark.parametrize(
-    "lines, named",
+    "lines, expected",
     [
         (["NONSENSE 1"], "line 3: unknown message 'NONSENSE'"),
         ([ASK], "line 3: INGRESS for instance 3, which has no PROVISION"),
@@ -92,6 +94,6 @@
         (["BATCH 1 2"], "line 3: BATCH before"),
     ],
 )
-def test_malformed_input_names_line_and_field(lines: list[str], named: str) -> None:
-    with pytest.raises(WireError, match=named.replace("(", r"\(")):
-        play(lines)
+def test_malformed_input_names_line_and_field(lines: list[str], expected: str) -> None:
+    with pytest.raises(WireError, match=expected.replace("(", r"\(")):
+        run_batches(lines)
--- a/tests/test_settings_isolation.py
+++ b/tests/test_settings_isolation.py
@@ -1,7 +1,7 @@
-"""One customer's settings never show up for another: gateways side by side, and one after a reload.
+"""Settings never leak: between gateways in one process, or into requests that arrive after a reload.
 
-Scenes of one gateway are `scenarios_platform/reload.txt` and, for requests of several classes and tenants on
-one connection and for names that look alike, `scenarios_platform/settings.txt`.
+Scenarios of a single gateway are in `scenarios_platform/reload.txt`; those with several classes and tenants
+on one connection, and with similar names, are in `scenarios_platform/settings.txt`.
 """
 
 import ast
@@ -26,7 +26,7 @@
 from benchmarks.decisions import CASES, World
 from stackpitch.benchlink import host as adapter
 from stackpitch.interface import MS, SECOND, Generation, Product
-from stackpitch.interface import Server as Listed
+from stackpitch.interface import Server as ListedServer
 from stackpitch.loop import Coro, Group
 from stackpitch.loop.virtual import VirtualWorld
 from stackpitch.platform.lines import Lines
@@ -37,31 +37,33 @@
 SOURCES = Path(__file__).parent.parent / "stackpitch"
 
 
-# Modules.
+# Decision modules in one process.
 
 
-def begun(name: str, found: list[str]) -> World:
-    """A world of several gateways that notes all that their modules ask for."""
-    world = World(BY_NAME[name], 5, found.append)
+def started_world(name: str, actions: list[str]) -> World:
+    """A simulated world of several gateways that records every action of their decision modules."""
+    world = World(BY_NAME[name], 5, actions.append)
     for door in world.doors:
-        world.after(0, lambda one: one.call(one.brain.begin), door)
+        world.after(0, lambda gateway: gateway.call(gateway.brain.begin), door)
     world.after(50 * MS, world.traffic)
     world.after(SECOND, world.befall)
     return world
 
 
 def steps(world: World, seconds: int) -> Iterator[None]:
+    """Runs the world event by event, and yields after each."""
     while world.events and world.events[0][0] < seconds * SECOND:
-        world.now, _, call, of = heappop(world.events)
-        call(*of)
+        world.now, _, callback, arguments = heappop(world.events)
+        callback(*arguments)
         yield
 
 
-def alone(name: str) -> list[str]:
-    found: list[str] = []
-    for _ in steps(begun(name, found), 4):
+def actions_alone(name: str) -> list[str]:
+    """The actions of a world that runs alone in the process."""
+    actions: list[str] = []
+    for _ in steps(started_world(name, actions), 4):
         pass
-    return found
+    return actions
 
 
 @pytest.mark.parametrize(
@@ -74,46 +76,46 @@
         ("zones-mixed", "no-readers"),
     ],
 )
-def test_modules_side_by_side_decide_as_each_does_alone(first: str, second: str) -> None:
-    """Event by event in turn: all that is asked for, with times and limits, line by line."""
-    found: dict[str, list[str]] = {first: [], second: []}
-    under_way = [steps(begun(name, found[name]), 4) for name in (first, second)]
-    while under_way:
-        under_way = [one for one in under_way if next(one, one) is None]
+def test_interleaved_modules_decide_as_each_does_alone(first: str, second: str) -> None:
+    """Two worlds run in turn, event by event; every action is compared, with its times and limits."""
+    actions: dict[str, list[str]] = {first: [], second: []}
+    running = [steps(started_world(name, actions[name]), 4) for name in (first, second)]
+    while running:
+        running = [run for run in running if next(run, run) is None]
     for name in (first, second):
-        assert len(found[name]) > 200
-        assert found[name] == alone(name)
+        assert len(actions[name]) > 200
+        assert actions[name] == actions_alone(name)
 
 
-def test_a_module_made_after_another_has_worked_decides_as_the_first_one() -> None:
-    before = alone("peers-zones")
-    alone("stormy")
-    assert alone("peers-zones") == before
+def test_a_module_created_after_another_has_run_decides_as_the_first_one() -> None:
+    before = actions_alone("peers-zones")
+    actions_alone("stormy")
+    assert actions_alone("peers-zones") == before
 
 
-# Instances of the bench's adapter, which live in one process.
+# Instances of the simulator adapter, which live in one process.
 
 
 def answers(batches: list[list[tuple[int, str]]]) -> dict[int, list[str]]:
-    """What each instance asks for, by its number. `batches`: lines, each with the instance that it is for."""
+    """The reply lines of each instance, by its number. `batches`: lines, each with the instance it is for."""
     text = ""
     for number, lines in enumerate(batches, 1):
         text += f"BATCH {7000 + number}.5 {number}\n"
         text += "".join(f"SWITCH_TO {who}\n{line}\n" for who, line in lines) + "EOF_BATCH\n"
     sink = io.BytesIO()
     adapter.serve(io.BytesIO(text.encode()), sink)
-    found: dict[int, list[str]] = {}
+    replies: dict[int, list[str]] = {}
     for line in sink.getvalue().decode().splitlines():
-        word, _, rest = line.partition(" ")
-        if word == "AT":
-            at = found.setdefault(int(rest), [])
-        elif word != "EOR":
-            at.append(line)
-    return found
+        message, _, rest = line.partition(" ")
+        if message == "AT":
+            lines_of_instance = replies.setdefault(int(rest), [])
+        elif message != "EOR":
+            lines_of_instance.append(line)
+    return replies
 
 
-def story(who: int, settings: dict[str, Any]) -> list[list[tuple[int, str]]]:
-    """A start, then a request whose writer breaks off, and one more."""
+def session_batches(who: int, settings: dict[str, Any]) -> list[list[tuple[int, str]]]:
+    """A start, then a request whose writer breaks off, and one more request."""
     start = [f"PROVISION 7 {json.dumps(settings)}", "\n".join(START[1:])]
     other = ASK.replace(GEN, GEN[::-1])
     return [
@@ -130,7 +132,7 @@
     ]
 
 
-UNLIKE = changed(
+OTHER_CONFIG = changed(
     CONFIG,
     {
         "classes.0.effect": '"free"',
@@ -144,20 +146,20 @@
 
 
 def test_instances_of_one_adapter_answer_as_each_does_alone() -> None:
-    one, other = story(3, CONFIG), story(4, UNLIKE)
-    wanted = answers(one) | answers(other)
-    assert wanted[3] != wanted[4] and len(wanted[3]) > 4 and len(wanted[4]) > 4
+    one, other = session_batches(3, CONFIG), session_batches(4, OTHER_CONFIG)
+    expected = answers(one) | answers(other)
+    assert expected[3] != expected[4] and len(expected[3]) > 4 and len(expected[4]) > 4
     together = [[*first, *second] for first, second in zip(one, other, strict=True)]
-    assert answers(together) == wanted
-    assert answers([[*second, *first] for first, second in zip(one, other, strict=True)]) == wanted
+    assert answers(together) == expected
+    assert answers([[*second, *first] for first, second in zip(one, other, strict=True)]) == expected
     by_line = [
         [line for pair in zip(first, second) for line in pair]
         for first, second in zip(one, other, strict=True)
     ]
-    assert answers(by_line) == wanted
+    assert answers(by_line) == expected
 
 
-# Whole gateways.
+# Gateways in one virtual world.
 
 ORDER = [
     ("a1", "chat"),
@@ -171,7 +173,7 @@
     ("b5", "chat"),
     ("a5", "chat"),
 ]
-OTHERS: dict[str, str] = {  # of the second gateway
+CHANGES_OF_B: dict[str, str] = {  # to the settings of the second gateway
     "classes.0.effect": '"single_shot"',
     "classes.2.effect": '"free"',
     "classes.1.keyTtlMs": "1",
@@ -186,40 +188,40 @@
 
 
 class TwoGateways(Stage):
-    """Clients named a... ask the first gateway, b... the second, that has settings of its own."""
+    """Clients named a... use the first gateway, b... the second, which has other settings."""
 
     def __init__(self, folder: Path, names: str) -> None:
         super().__init__(folder)
         self.folder, self.names = folder, names
         self.world = VirtualWorld(
-            7, programs=lambda command: serve(self.world, {"RELAY_CONFIG": command[0]}, self.noted)
+            7, programs=lambda command: serve(self.world, {"RELAY_CONFIG": command[0]}, self.recorded)
         )
-        self.asked: dict[str, list[str]] = {name: [] for name in names}
+        self.actions: dict[str, list[str]] = {name: [] for name in names}
         self.doors: dict[str, Any] = {}
 
-    def noted(self, host: Any, door: Any) -> None:
-        asked, send, throttle = self.asked[host.name], host.send, host.throttle
+    def recorded(self, host: Any, door: Any) -> None:
+        actions, send, throttle = self.actions[host.name], host.send, host.throttle
         terminate = host.terminate
 
-        def noted_send(gen: Generation, server: Listed, limit: int) -> Any:
+        def recording_send(gen: Generation, server: ListedServer, limit: int) -> Any:
             facts = [
                 gen.product.effect,
                 gen.product.memory,
                 gen.customer and gen.customer.quota_per_s,
                 gen.slo(),
             ]
-            asked.append(f"send {gen.name} {server.name} {server.role} {server.memory_tok} {facts}")
+            actions.append(f"send {gen.name} {server.name} {server.role} {server.memory_tok} {facts}")
             return send(gen, server, limit)
 
-        def noted_throttle(gen: Generation, retry_after: int) -> None:
-            asked.append(f"throttle {gen.name} {retry_after}")
+        def recording_throttle(gen: Generation, retry_after: int) -> None:
+            actions.append(f"throttle {gen.name} {retry_after}")
             throttle(gen, retry_after)
 
-        def noted_terminate(gen: Generation) -> None:
-            asked.append(f"terminate {gen.name}")
+        def recording_terminate(gen: Generation) -> None:
+            actions.append(f"terminate {gen.name}")
             terminate(gen)
 
-        host.send, host.throttle, host.terminate = noted_send, noted_throttle, noted_terminate
+        host.send, host.throttle, host.terminate = recording_send, recording_throttle, recording_terminate
         self.host, self.door = host, door
         self.doors[host.name] = door
 
@@ -230,13 +232,13 @@
         for name in ("w1", "w2"):
             self.do_server(name, "reset")
         self.listen()
-        for place, name in enumerate(self.names):
+        for position, name in enumerate(self.names):
             conf = self.configured() | {"name": name, "listen": f"127.0.0.1:{5000 + 'ab'.index(name)}"}
-            conf["settings"] = changed(SETTINGS, OTHERS if name == "b" else {})
-            path = self.folder / f"{place}.json"
+            conf["settings"] = changed(SETTINGS, CHANGES_OF_B if name == "b" else {})
+            path = self.folder / f"{position}.json"
             path.write_text(json.dumps(conf))
             self.child = self.world.spawn_child([str(path)])
-            yield from self.until(2000, lambda: len(self.doors) > place and self.door.ready, "never ready")  # noqa: B023
+            yield from self.until(2000, lambda: len(self.doors) > position and self.door.ready, "never ready")  # noqa: B023
 
     def connect(self, name: str) -> Coro[Client]:
         stream = yield from self.world.connect(("127.0.0.1", 5000 + "ab".index(name[0])), SECOND)
@@ -259,7 +261,7 @@
 
         self.world.run(main())
         self.world.bury()
-        return self.asked
+        return self.actions
 
 
 @pytest.fixture(scope="module")
@@ -268,13 +270,16 @@
 
 
 @pytest.mark.parametrize("names", ["ab", "ba"])
-def test_gateways_side_by_side_do_what_each_does_alone(
+def test_gateways_in_one_process_act_as_each_does_alone(
     names: str, each_alone: dict[str, list[str]], tmp_path: Path
 ) -> None:
-    """Constructed in both orders, asked in turn. Servers break off each attempt, so effects show."""
+    """Started in both orders, used in turn.
+
+    The writers break off each attempt, so retries depend on the effect.
+    """
     assert len(each_alone["a"]) > 8 and len(each_alone["b"]) > 6
-    found = TwoGateways(tmp_path, names).play_order()
-    assert found == {name: each_alone[name] for name in names}
+    actions = TwoGateways(tmp_path, names).play_order()
+    assert actions == {name: each_alone[name] for name in names}
 
 
 # Reloads at any moment.
@@ -324,12 +329,14 @@
 
 
 class Reloaded(Stage):
-    """Random requests, reloads, troubles and clients that go. What is sent is held against the configuration
-    that was in force when its request arrived."""
+    """Random requests, reloads, faults and clients that disconnect.
+
+    Each attempt is checked against the configuration that was in force when its request arrived.
+    """
 
     def __init__(self, folder: Path, seed: int) -> None:
         super().__init__(folder)
-        self.draw, self.in_force = Random(seed), dict[str, Any]()
+        self.random, self.in_force = Random(seed), dict[str, Any]()
         self.arrived_under: dict[Generation, dict[str, Any]] = {}
         self.sends = 0
 
@@ -338,25 +345,26 @@
         self.in_force = self.configured()
         arrived, send, write = host.arrived, host.send, host.logger._write
 
-        def noted_write(level: str, event: str, fields: dict[str, Any]) -> None:
+        def recording_write(level: str, event: str, fields: dict[str, Any]) -> None:
             if event == "reloaded":
                 self.in_force = self.configured()
             write(level, event, fields)
 
-        def noted_arrived(one: Any) -> None:
-            self.arrived_under[one.gen] = self.in_force
-            arrived(one)
+        def recording_arrived(request: Any) -> None:
+            self.arrived_under[request.gen] = self.in_force
+            arrived(request)
 
-        def noted_send(gen: Generation, server: Listed, limit: int) -> Any:
-            self.judge(gen)
+        def recording_send(gen: Generation, server: ListedServer, limit: int) -> Any:
+            self.check_attempt(gen)
             return send(gen, server, limit)
 
-        host.arrived, host.send, host.logger._write = noted_arrived, noted_send, noted_write
+        host.arrived, host.send, host.logger._write = recording_arrived, recording_send, recording_write
 
-    def judge(self, gen: Generation) -> None:
+    def check_attempt(self, gen: Generation) -> None:
+        """Checks that the settings of the request allow one more attempt."""
         self.sends += 1
         settings = self.arrived_under[gen]["settings"]
-        product = next(one for one in settings["classes"] if one["name"] == gen.product.name)
+        product = next(entry for entry in settings["classes"] if entry["name"] == gen.product.name)
         effect = EFFECTS[product["effect"]]
         assert gen.product.effect == effect and len(gen.legs) < settings["bounds"]["maxAttempts"]
         ran = gen.ran()
@@ -365,41 +373,41 @@
         elif effect == "deduplicated" and ran:
             assert self.world.now() < ran[0].sent + product["keyTtlMs"] * MS, "sent past its window"
 
-    def story(self) -> Coro[None]:
-        draw = self.draw
+    def run_scenario(self) -> Coro[None]:
+        random = self.random
         yield from self.do_fleet("r1", "r2", "w1", "w2", "w3")
         for number in range(300):
-            what = draw.random()
-            if what < 0.55:
+            choice = random.random()
+            if choice < 0.55:
                 name = f"c{number}"
                 yield from self.do_ask(
                     name,
-                    draw.choice(("chat", "pay", "paid", "order")),
-                    limit=str(draw.choice((400, 2500))),
-                    key=draw.choice((None, "s", "t")),
+                    random.choice(("chat", "pay", "paid", "order")),
+                    limit=str(random.choice((400, 2500))),
+                    key=random.choice((None, "s", "t")),
                 )
-                if draw.random() < 0.15:
-                    yield from self.world.sleep(draw.randrange(100 * MS))
-                    self.do_leave(name, draw.choice(("close", "half", "reset")))
-            elif what < 0.75:
-                yield from self.do_reload(**draw.choice(CHANGES))
+                if random.random() < 0.15:
+                    yield from self.world.sleep(random.randrange(100 * MS))
+                    self.do_leave(name, random.choice(("close", "half", "reset")))
+            elif choice < 0.75:
+                yield from self.do_reload(**random.choice(CHANGES))
                 if self.lines[-1][0] == "reload_failed":
                     self.changes["settings.extra.dutyByKind"] = '["read","write"]'
             else:
-                self.do_server(draw.choice(list(self.servers)), *draw.choices(ACTS, k=2))
-            yield from self.world.sleep(draw.choice((0, 3, 20 * MS, 150 * MS)))
+                self.do_server(random.choice(list(self.servers)), *random.choices(ACTS, k=2))
+            yield from self.world.sleep(random.choice((0, 3, 20 * MS, 150 * MS)))
         for name in self.servers:
             self.do_server(name, "ok")
         yield from self.world.sleep(12 * SECOND)
-        assert all(one.end is not None for one in self.clients.values()), "a request has no answer"
+        assert all(client.end is not None for client in self.clients.values()), "a request has no answer"
         yield from self.expect_idle()
         self.expect_modules("1")
         assert not [line for line in self.lines if line[0] in FAULTS]
 
-    def play_story(self) -> None:
+    def run_to_end(self) -> None:
         def body(group: Group) -> Coro[None]:
             self.group = group
-            yield from self.story()
+            yield from self.run_scenario()
             group.cancel()
 
         def main() -> Coro[None]:
@@ -410,18 +418,17 @@
 
 
 @pytest.mark.parametrize("seed", range(16))
-def test_each_request_is_carried_by_the_settings_it_arrived_under(seed: int, tmp_path: Path) -> None:
+def test_each_request_uses_the_settings_it_arrived_under(seed: int, tmp_path: Path) -> None:
     stage = Reloaded(tmp_path, seed)
-    stage.play_story()
+    stage.run_to_end()
     assert stage.sends > 100 and len([line for line in stage.lines if line[0] == "reloaded"]) > 8
 
 
-# What outlives its owner.
+# Mutable state at module or class level.
 
 
 def mutable_state(tree: ast.Module) -> list[str]:
-    """Names of module and class values that something could be put into, but for constants and fields of
-    records; and mutable defaults of arguments."""
+    """Mutable values of modules and classes except constants and record fields; globals; mutable defaults."""
     found = []
 
     def mutable(value: ast.AST | None) -> bool:
@@ -457,7 +464,7 @@
 
 
 def test_no_module_class_or_default_holds_state() -> None:
-    """All that a gateway of the platform consists of. Names in capitals are tables that nothing writes to."""
+    """Checks all packages of a platform gateway. Names in capitals are constant tables."""
     parts = ("platform", "gateway", "brain", "wire", "loop", "benchlink")
     files = [path for part in parts for path in (SOURCES / part).rglob("*.py")] + list(SOURCES.glob("*.py"))
     found = {
@@ -468,19 +475,19 @@
     assert len(files) > 60 and not found
 
 
-def test_the_finder_of_state_finds_it() -> None:
+def test_mutable_state_is_found() -> None:
     text = "class Door:\n    products: dict = {}\n\ncache = dict()\n\ndef f(a=[]): global b\n"
     assert mutable_state(ast.parse(text)) == ["products", "cache", "[]", "b"]
 
 
-def test_classes_named_as_the_fields_of_a_line_are_told(capsys: pytest.CaptureFixture[str]) -> None:
+def test_classes_named_like_the_fields_of_a_log_line_are_logged(capsys: pytest.CaptureFixture[str]) -> None:
     lines = Lines("n0")
     for product in ("event", "level", "gateway", "self", "chat"):
         lines.log(0, "generation", product=product, end="streamed", legs=[])
     lines.classes()
-    told = json.loads(capsys.readouterr().err)
-    assert (told["event"], told["level"], told["gateway"]) == ("classes", "info", "n0")
-    assert {name for name, value in told.items() if value == {"came": 1, "streamed": 1}} == {
+    logged = json.loads(capsys.readouterr().err)
+    assert (logged["event"], logged["level"], logged["gateway"]) == ("classes", "info", "n0")
+    assert {name for name, value in logged.items() if value == {"came": 1, "streamed": 1}} == {
         "class event",
         "class level",
         "class gateway",
@@ -489,16 +496,16 @@
     }
 
 
-# Rule 4 over reloads.
+# Rule 4 (load on cold servers) across reloads.
 
 
-class Sends:
-    """Notes which server each generation was sent to."""
+class IgnoringGateway:
+    """A gateway that ignores every action except `send`, which must not occur."""
 
     def __init__(self) -> None:
         self.sent: list[str] = []
 
-    def send(self, gen: Generation, server: Listed, limit: int) -> Any:
+    def send(self, gen: Generation, server: ListedServer, limit: int) -> Any:
         raise NotImplementedError
 
     def __getattr__(self, name: str) -> Any:
@@ -507,7 +514,7 @@
 
 def module(number: int = 0, gateways: int = 1) -> RuledBrain:
     return RuledBrain(
-        Sends(),
+        IgnoringGateway(),
         1,
         Preferences(),
         number=number,
@@ -529,14 +536,14 @@
 GATEWAYS, LOOKUPS = 20, 200
 
 
-def turns(reload_every: int, number: int) -> int:
-    """How many lookups, 10 ms apart, go to the cold one of ten readers, with a reload after so many."""
+def cold_lookups(reload_every: int, number: int) -> int:
+    """How many lookups, 10 ms apart, go to the cold one of ten readers; a reload comes every so many."""
     servers = [
-        Listed(f"r{place}", "a", "r", 1, "reader", 1000, started=0 if place == 0 else None)
-        for place in range(10)
+        ListedServer(f"r{index}", "a", "r", 1, "reader", 1000, started=0 if index == 0 else None)
+        for index in range(10)
     ]
-    servers.append(Listed("w0", "a", "w", 1, "writer", 1000))
-    brain, drawn = module(number, GATEWAYS), 0
+    servers.append(ListedServer("w0", "a", "w", 1, "writer", 1000))
+    brain, chosen = module(number, GATEWAYS), 0
     brain.roster(0, servers, True)
     for lookup in range(LOOKUPS):
         now = lookup * 10 * MS
@@ -548,12 +555,12 @@
         gen = Generation(
             f"g{lookup}", CHAT, None, None, None, 0, 100, 10, None, now, now + 4 * SECOND, False, False
         )
-        drawn += goes_cold(brain, now, gen, servers[0])
-    return drawn
+        chosen += picks_cold_server(brain, now, gen, servers[0])
+    return chosen
 
 
-def goes_cold(brain: RuledBrain, now: int, gen: Generation, cold: Listed) -> bool:
-    """Looks its reader up; all that is looked up gets done."""
+def picks_cold_server(brain: RuledBrain, now: int, gen: Generation, cold: ListedServer) -> bool:
+    """Looks up a reader for the generation, with all earlier lookups counted as completed."""
     fleet = brain.fleet
     usable = fleet.usable("reader", now, gen)
     lookups_by_warmth, _ = fleet.size["reader"]
@@ -562,30 +569,32 @@
 
 
 @pytest.mark.parametrize("every", [1, 7, 40])
-def test_a_cold_server_is_sent_no_more_over_reloads(every: int) -> None:
-    """By each gateway, wherever it starts to count, and so by all of them."""
+def test_reloads_do_not_raise_the_load_on_a_cold_server(every: int) -> None:
+    """Holds for each gateway, wherever its slow start begins, and so for all of them together."""
     for number in range(GATEWAYS):
-        assert turns(every, number) <= turns(LOOKUPS, number) + 1
+        assert cold_lookups(every, number) <= cold_lookups(LOOKUPS, number) + 1
 
 
-def test_the_module_before_draws_no_cold_server_any_more() -> None:
+def test_the_replaced_module_admits_cold_servers_no_longer() -> None:
     servers = [
-        Listed(f"r{place}", "a", "r", 1, "reader", 1000, started=0 if place == 0 else None)
-        for place in range(10)
+        ListedServer(f"r{index}", "a", "r", 1, "reader", 1000, started=0 if index == 0 else None)
+        for index in range(10)
     ]
     before, after = module(), module()
-    for one in (before, after):
-        one.roster(0, servers, True)
+    for brain in (before, after):
+        brain.roster(0, servers, True)
     after.continue_slow_start(before)
     gens = [
         Generation(f"g{number}", CHAT, None, None, None, 0, 100, 10, None, 0, 9, False, False)
         for number in range(400)
     ]
-    found = {one: sum(goes_cold(one, 5, gen, servers[0]) for gen in gens) for one in (before, after)}
-    assert found[before] == 0 < found[after]
+    chosen = {
+        brain: sum(picks_cold_server(brain, 5, gen, servers[0]) for gen in gens) for brain in (before, after)
+    }
+    assert chosen[before] == 0 < chosen[after]
 
 
-# The real process.
+# A gateway as a real process.
 
 
 def status(port: int, name: str, product: str) -> bytes:
@@ -593,7 +602,7 @@
         return stream.recv(4096).split(b" ")[1]
 
 
-def test_a_running_process_takes_settings_anew_and_stops_when_told_at_once(tmp_path: Path) -> None:
+def test_a_process_reloads_its_settings_and_stops_when_both_signals_come_at_once(tmp_path: Path) -> None:
     agent = Agent()
     servers = [Server("r1", READ), Server("w1", STREAM)]
     for one in servers:
@@ -603,7 +612,7 @@
         file = tmp_path / "c"
         good = json.loads(file.read_text())
 
-        def told(config: str) -> None:
+        def reload(config: str) -> None:
             file.write_text(config)
             os.kill(gateway.process.pid, signal.SIGHUP)
 
@@ -611,21 +620,22 @@
         with agent.told(5):
             assert status(gateway.port, "0" * 16, "chat") == b"200"
             assert status(gateway.port, "1" * 16, "lone") == b"400"
-            told(json.dumps(changed(good, {"settings.classes.0.name": '"lone"'})))
+            reload(json.dumps(changed(good, {"settings.classes.0.name": '"lone"'})))
             time.sleep(0.2)
             assert status(gateway.port, "2" * 16, "lone") == b"200"
             assert status(gateway.port, "3" * 16, "chat") == b"400"
-            told("{not json")
+            reload("{not json")
             time.sleep(0.2)
             assert status(gateway.port, "4" * 16, "lone") == b"200"
-            told(json.dumps(good))
+            reload(json.dumps(good))
             os.kill(gateway.process.pid, signal.SIGTERM)
-            time.sleep(0.2)  # both are heard; connections still come for 0.7 s
+            time.sleep(0.2)  # both signals are handled; connections are still accepted for 0.7 s
             assert status(gateway.port, "5" * 16, "chat") == b"200"
             assert gateway.process.wait(10) == 0
 
 
 def reachable(port: int) -> bool:
+    """Whether the port accepts a connection."""
     try:
         socket.create_connection(("127.0.0.1", port), 1).close()
     except OSError:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Codecs, facts and settings: what is taken, and how what is not is named."""
+"""Codecs, request metadata and settings: what is accepted, and the errors for what is not."""
 
 from pathlib import Path
 
@@ -21,16 +21,16 @@
 
 
 @pytest.mark.parametrize("step", [1, 2, 7, 1000])
-def test_an_answer_in_pieces_of_any_size(step: int) -> None:
-    reader, body = http.ResponseParser(1000, 1000), b""
-    for at in range(0, len(ANSWER), step):
-        assert not reader.complete
-        reader.feed(ANSWER[at : at + step])
-        body += b"".join(reader.pieces)
-    assert reader.complete and not reader.extra_bytes and body == b"data: a\n\ndata: b\n\n"
-    assert orca.parse(reader.trailers[orca.HEADER]) == {"a": 1.0}
-    reader.feed(b"H")
-    assert reader.extra_bytes
+def test_a_response_in_pieces_of_any_size(step: int) -> None:
+    parser, body = http.ResponseParser(1000, 1000), b""
+    for position in range(0, len(ANSWER), step):
+        assert not parser.complete
+        parser.feed(ANSWER[position : position + step])
+        body += b"".join(parser.pieces)
+    assert parser.complete and not parser.extra_bytes and body == b"data: a\n\ndata: b\n\n"
+    assert orca.parse(parser.trailers[orca.HEADER]) == {"a": 1.0}
+    parser.feed(b"H")
+    assert parser.extra_bytes
 
 
 @pytest.mark.parametrize(
@@ -46,16 +46,16 @@
         (b"GET / HTTP/1.1\r\nupgrade: h2c\r\nconnection: upgrade\r\n\r\n", 400),
     ],
 )
-def test_what_is_no_request_is_refused_with_its_status(text: bytes, status: int) -> None:
+def test_an_invalid_request_is_refused_with_its_status(text: bytes, status: int) -> None:
     with pytest.raises(http.BadMessage) as caught:
-        reader = http.RequestParser(4096, 1000)
-        for at in range(0, len(text), 512):
-            reader.feed(text[at : at + 512])
+        parser = http.RequestParser(4096, 1000)
+        for position in range(0, len(text), 512):
+            parser.feed(text[position : position + 512])
     assert caught.value.status == status
 
 
 @pytest.mark.parametrize(
-    "beside",
+    "overhead",
     [b"0\r\nx: ", b"0\r\n" + (b"a: " + b"b" * 20 + b"\r\n") * 100, b"2;x="],
     ids=["a trailer", "trailers", "an extension"],
 )
@@ -67,26 +67,26 @@
     ],
     ids=["request", "answer"],
 )
-def test_what_is_neither_head_nor_body_is_bounded(head: bytes, beside: bytes) -> None:
-    reader = (http.RequestParser if head[0] == ord("P") else http.ResponseParser)(1000, 1000)
-    reader.feed(head)
+def test_what_is_neither_head_nor_body_is_bounded(head: bytes, overhead: bytes) -> None:
+    parser = (http.RequestParser if head[0] == ord("P") else http.ResponseParser)(1000, 1000)
+    parser.feed(head)
     with pytest.raises(http.BadMessage, match="neither head nor body"):
-        reader.feed(beside)
+        parser.feed(overhead)
         for _ in range(3):
-            reader.feed(b"a: b\r\n" * 100 if b"a: b" in beside else b"y" * 600)
+            parser.feed(b"a: b\r\n" * 100 if b"a: b" in overhead else b"y" * 600)
 
 
 def test_events_in_pieces() -> None:
-    events, found = sse.EventParser(100), []
-    for one in (b'data: {"a"', b":1}\n", b"\nevent: x\r\ndata: b\r\n\r\n: remark\n\n", sse.DONE):
-        found += events.feed(one)
-    assert found == [b'{"a":1}', b"b", b"[DONE]"]
+    parser, events = sse.EventParser(100), []
+    for piece in (b'data: {"a"', b":1}\n", b"\nevent: x\r\ndata: b\r\n\r\n: remark\n\n", sse.DONE):
+        events += parser.feed(piece)
+    assert events == [b'{"a":1}', b"b", b"[DONE]"]
     with pytest.raises(ValueError, match="over 100 bytes"):
-        events.feed(b"data: " + b"x" * 200)
+        parser.feed(b"data: " + b"x" * 200)
 
 
 @pytest.mark.parametrize(
-    "text, named",
+    "text, expected",
     [
         ("BIN xyz", "form is 'BIN'"),
         ("TEXT a", "'a' is not name=value"),
@@ -96,8 +96,8 @@
         ('JSON {"named_metrics":{"q":"x"}}', "named_metrics.q is 'x'"),
     ],
 )
-def test_bad_load_reports_name_the_field(text: str, named: str) -> None:
-    with pytest.raises(orca.BadReport, match=named.replace("[", r"\[")):
+def test_bad_load_reports_name_the_field(text: str, expected: str) -> None:
+    with pytest.raises(orca.BadReport, match=expected.replace("[", r"\[")):
         orca.parse(text)
 
 
@@ -154,7 +154,7 @@
     return READING.read("/v1/chat/completions", headers, msgspec.json.encode({**CHAT, **fields}), "id")
 
 
-def test_what_a_request_says_of_its_generation() -> None:
+def test_the_generation_of_a_request() -> None:
     found = facts(
         {"x-session-id": "s", "x-stainless-retry-count": "1", "x-time-limit-ms": "900"},
         max_tokens=7,
@@ -176,7 +176,7 @@
 
 
 @pytest.mark.parametrize(
-    "headers, fields, named",
+    "headers, fields, expected",
     [
         ({"x-product": "nope"}, {}, "x-product: found 'nope'; allowed: chat"),
         ({}, {"model": "z"}, "model: found 'z'; allowed: m"),
@@ -188,13 +188,15 @@
         ({}, {"kv_transfer_params": {}}, "kv_transfer_params"),
     ],
 )
-def test_a_bad_request_names_field_value_and_what_is_allowed(headers: dict, fields: dict, named: str) -> None:
-    with pytest.raises(BadRequest, match=named):
+def test_a_bad_request_names_field_value_and_what_is_allowed(
+    headers: dict, fields: dict, expected: str
+) -> None:
+    with pytest.raises(BadRequest, match=expected):
         facts(headers, **fields)
 
 
 @pytest.mark.parametrize(
-    "text, named",
+    "text, expected",
     [
         ("{ roster: 'f' }", "products: missing"),
         ("{ a: 1,, }", "syntax error"),
@@ -222,15 +224,15 @@
         ("{ module: { probes: 'yes' } }", "module.probes: Input should be a valid boolean; found 'yes'"),
     ],
 )
-def test_bad_settings_name_file_field_and_what_is_allowed(text: str, named: str, tmp_path: Path) -> None:
+def test_bad_settings_name_file_field_and_what_is_allowed(text: str, expected: str, tmp_path: Path) -> None:
     path = tmp_path / "gateway.jsonnet"
     path.write_text(text)
     with pytest.raises(BadSettings) as caught:
         read(Settings, path)
-    assert named in str(caught.value) and str(path) in str(caught.value)
+    assert expected in str(caught.value) and str(path) in str(caught.value)
 
 
-def test_text_nested_deeper_than_the_decoder_goes_is_malformed_like_any_other() -> None:
+def test_text_nested_too_deeply_for_the_decoder_is_malformed() -> None:
     deep = b"[" * 9000 + b"]" * 9000
     with pytest.raises(msgspec.DecodeError, match="nested"):
         decode(deep)
@@ -242,27 +244,27 @@
 
 
 @pytest.mark.parametrize("fields", [http.MAX_FIELDS - 2, http.MAX_FIELDS + 1])
-@pytest.mark.parametrize("where", ["head", "trailers"])
+@pytest.mark.parametrize("part", ["head", "trailers"])
 @pytest.mark.parametrize(
     "first", [b"POST /v1 HTTP/1.1\r\n", b"HTTP/1.1 200 OK\r\n"], ids=["request", "answer"]
 )
-def test_fields_are_bounded_in_number(first: bytes, where: str, fields: int) -> None:
-    """Thousands of short ones fit in the bytes of a head, and cost whoever reads them milliseconds."""
-    reader = (http.RequestParser if first[0] == ord("P") else http.ResponseParser)(1 << 16, 1000)
+def test_fields_are_bounded_in_number(first: bytes, part: str, fields: int) -> None:
+    """Thousands of short fields fit in a head's bytes, and parsing them takes milliseconds."""
+    parser = (http.RequestParser if first[0] == ord("P") else http.ResponseParser)(1 << 16, 1000)
     short, chunked = b"a:\r\n" * fields, b"transfer-encoding: chunked\r\n"
-    head, trailers = (short, b"") if where == "head" else (b"", short)
+    head, trailers = (short, b"") if part == "head" else (b"", short)
     text = first + chunked + head + b"\r\n0\r\n" + trailers + b"\r\n"
     if fields < http.MAX_FIELDS:
-        reader.feed(text)
-        assert reader.complete
+        parser.feed(text)
+        assert parser.complete
     else:
         with pytest.raises(http.BadMessage, match="over 128 fields") as caught:
-            reader.feed(text)
+            parser.feed(text)
         assert caught.value.status == 431
 
 
 def test_a_large_head_that_arrives_at_once_is_refused_for_its_size() -> None:
-    reader = http.RequestParser(1 << 14, 1 << 16)
+    parser = http.RequestParser(1 << 14, 1 << 16)
     with pytest.raises(http.BadMessage) as caught:
-        reader.feed(b"GET / HTTP/1.1\r\na: " + b"b" * 20_000 + b"\r\n\r\n")
+        parser.feed(b"GET / HTTP/1.1\r\na: " + b"b" * 20_000 + b"\r\n\r\n")
     assert caught.value.status == 431
