--- a/stackpitch/benchlink/codec.py
+++ b/stackpitch/benchlink/codec.py
@@ -89,6 +89,7 @@
     return name, parse, True
 
 
+# The fields of each message, in their order on the line. The last field takes the rest of the line.
 FIELDS: dict[str, tuple[Field, ...]] = {
     "BATCH": (_required("clock", _ticks), _required("batch", _count)),
     "EOF_BATCH": (),
--- a/stackpitch/benchlink/host.py
+++ b/stackpitch/benchlink/host.py
@@ -23,6 +23,7 @@
 )
 from stackpitch.plausible import PlausibilityFilter
 
+# Outcome by the `disposition` of COMPLETED and CHECK_RESULT.
 OUTCOMES: dict[str, Outcome] = {
     "pass": "streamed",
     "prefilled": "read",
@@ -34,6 +35,7 @@
     "undone": "cancelled",
     "stale_send": "not-sent",
 }
+# State by the `availability` of ROW.
 STATES: dict[str, State] = {"in_service": "ready", "terminating": "draining", "terminated": "gone"}
 # Whether the roster is complete, by the `how` of ROSTER_CHANGE.
 COMPLETE_ROSTER = {"Partial": False, "Complete": True, "Persisted": True}
--- a/stackpitch/benchlink/settings.py
+++ b/stackpitch/benchlink/settings.py
@@ -7,12 +7,14 @@
 
 from stackpitch.interface import Customer, Effect, Product, Role
 
+# Effect by the `effect` of a class.
 EFFECTS: dict[str, Effect] = {
     "free": "idempotent",
     "guarded": "deduplicated",
     "single_shot": "side-effecting",
 }
-MAX_VALUE = 1e15  # bound of any number in the settings, whatever its unit
+MAX_VALUE = 1e15  # exclusive bound of any number in the settings, whatever its unit
+# Role by the entries of `dutyByKind`.
 ROLES: dict[str, Role] = {"read": "reader", "write": "writer", "both": "mixed"}
 
 
--- a/stackpitch/settings/model/fleet.py
+++ b/stackpitch/settings/model/fleet.py
@@ -16,7 +16,7 @@
     settle_most_ms: Milliseconds = 3000  # after this they are read even if they still change
     poll_ms: PositiveFloat = 1000
     check_ms: PositiveFloat = 10000  # time limit of a check
-    # Share of a role's ready servers that may be missing from a list at once.
+    # Share of a role's ready servers that one step may remove; steps are step_ms apart.
     step_share: Annotated[float, Field(gt=0, le=1)] = 0.34
     step_ms: Milliseconds = 2000
     persist_ms: Milliseconds = 15000  # a list that was held back is accepted once unchanged for this long
--- a/stackpitch/settings/model/module.py
+++ b/stackpitch/settings/model/module.py
@@ -10,14 +10,16 @@
 class Module(StrictModel):
     """What the decision module knows about its deployment."""
 
-    gateways: Count = 1
-    number: Annotated[int, Field(ge=0)] = 0
+    gateways: Count = 1  # gateways of the deployment
+    number: Annotated[int, Field(ge=0)] = 0  # of this gateway, from 0
     zone: str = ""
-    max_legs: Count = 4
+    max_legs: Count = 4  # of a generation
     max_retry_after_ms: Milliseconds = 2000
-    local_reads: bool = True
+    local_reads: bool = True  # a writer may prefill a prompt itself
+    # Share of a warm server's work that a server can do right after its start.
     cold_from: Annotated[float, Field(gt=0, le=1)] = 0.3
-    warm_up_ms: Milliseconds = 13000
+    warm_up_ms: Milliseconds = 13000  # from its start until it is warm
+    # Load, as a multiple of what a cold server can do, above which it fails.
     fall_multiple: PositiveFloat = 2.5
     probes: bool = False  # engines report load only on request: one probe for each generation
 
--- a/stackpitch/settings/model/traffic.py
+++ b/stackpitch/settings/model/traffic.py
@@ -53,11 +53,12 @@
     """A product: what a repeated leg may do, its SLO time and its revenue."""
 
     effect: Literal["idempotent", "deduplicated", "side-effecting"]
-    scope: Literal["all", "zone", "cell"] = "all"
+    scope: Literal["all", "zone", "cell"] = "all"  # deduplicated only: the servers that drop repeats
+    # Deduplicated only: how long servers remember a request, from the first leg that may have run.
     memory_ms: Milliseconds = 0
     slo_ms: PositiveFloat
-    slo_ms_per_ktok: Milliseconds = 0
-    token_gap_ms: Milliseconds = 60
+    slo_ms_per_ktok: Milliseconds = 0  # added to slo_ms for each 1,000 prompt tokens
+    token_gap_ms: Milliseconds = 60  # SLO of the mean gap between tokens
     time_limit_ms: PositiveFloat
     revenue: Annotated[float, Field(ge=0)] = 1.0
     late_revenue: Annotated[float, Field(ge=0)] = 0.0
@@ -65,10 +66,10 @@
 
 
 class Customer(StrictModel):
-    """A customer: its share, its quota in requests per second, and its API keys."""
+    """A customer: its share, its quota and its API keys."""
 
     share: Annotated[float, Field(ge=0)] = 0.0
-    quota_per_s: Annotated[float, Field(ge=0)] = 0.0
+    quota_per_s: Annotated[float, Field(ge=0)] = 0.0  # requests per second over all gateways
     keys: list[str] = []
 
 
