--- a/stackpitch/gateway/bounds.py
+++ b/stackpitch/gateway/bounds.py
@@ -1,4 +1,4 @@
-"""What a leg and a call may take."""
+"""Limits for legs and calls."""
 
 from dataclasses import dataclass
 
@@ -9,17 +9,17 @@
 class Bounds:
     """Times in tenths of a millisecond, sizes in bytes."""
 
-    pool: int
+    pool: int  # connections to one server
     connect: Time
-    idle: Time
-    gap: Time
-    call: Time
+    idle: Time  # after which an unused connection is closed
+    gap: Time  # without a byte of a stream, after which it is broken off
+    call: Time  # for one call other than a leg
     release_tries: int
     max_head: int
     max_answer: int
-    buffer: int
-    stall: Time
-    watchdog: Time  # after a client's time is up for the module: then the host answers by itself
-    request_level: int
-    release: Time = SECOND // 2  # within which what is held is used or released
-    settle: Time = 0  # a connection rests so long before it serves another leg
+    buffer: int  # buffered for a client before its stream waits for it
+    stall: Time  # after which a client that reads nothing is cut off
+    watchdog: Time  # after the module's deadline for a request; then the host answers by itself
+    request_level: int  # log level of the line per generation
+    release: Time = SECOND // 2  # within which held KV state and reservations are used or released
+    settle: Time = 0  # a connection is not reused for so long, so that stray bytes on it are noticed
--- a/stackpitch/gateway/client_listener.py
+++ b/stackpitch/gateway/client_listener.py
@@ -1,6 +1,9 @@
-"""Where clients come in: HTTP/1.1, one request at a time on each connection, all of it bounded.
+"""Accepts client connections and serves their HTTP/1.1 requests, one at a time per connection.
 
-What can't be taken is refused at once with a clear answer; what is taken is the host's until its final answer.
+Connections, heads, bodies and times are all bounded.
+
+A request that can't be accepted is refused at once with a clear response. An accepted one belongs to the
+host until its final response.
 """
 
 from collections import Counter
@@ -24,19 +27,21 @@
     from stackpitch.gateway.metrics import Metrics
 
 
-REQUEST_ID_FIELDS = ("req-id", "x-request-id")  # of a request's head, for the log
+REQUEST_ID_FIELDS = ("req-id", "x-request-id")  # headers that may hold a request's id, for the log
 
 
 class TokenTranslator(Protocol):
-    """What becomes of token ids on servers of each vocabulary; None: there are none. Raises BadRequest."""
+    """Translates token ids in a request between the vocabularies of the servers."""
 
-    def spoken(self, facts: Facts) -> dict[str, dict[str, msgspec.Raw]] | None: ...
+    def spoken(self, facts: Facts) -> dict[str, dict[str, msgspec.Raw]] | None:
+        """By vocabulary, the body fields with token ids; None: the request has none. Raises BadRequest."""
+        ...
 
 
 class ClientListener(RequestReceiver):
-    """Accepts clients. Tables: none beyond the connections that are open."""
+    """Accepts client connections. Its tables have an entry per open connection at most."""
 
-    retry_after: Time = 0  # told to clients that are refused as the gateway stops; 0: nothing is told
+    retry_after: Time = 0  # sent with refusals while the gateway stops; 0: none is sent
 
     def __init__(
         self,
@@ -44,7 +49,7 @@
         host: Host,
         log: "Log",
         metrics: "Metrics",
-        reading: RequestParser | None,
+        parser: RequestParser | None,
         *,
         max_connections: int,
         max_bodies: int,
@@ -57,23 +62,25 @@
         margin: Time,
         fresh: Time | None = None,
     ) -> None:
+        """`margin`: how long before the client's time limit a response must be ready.
+
+        The rest as for `RequestReceiver`.
+        """
         super().__init__(world, host, metrics, stall, max_bodies, max_body, max_head, head, body, idle, fresh)
-        self.log, self.request_parser = log, reading
-        self.token_translator: TokenTranslator | None = None  # set where vocabularies matter
+        self.log, self.request_parser = log, parser
+        self.token_translator: TokenTranslator | None = None  # set if servers have several vocabularies
         self.max_connections, self.margin = max_connections, margin
         self.connections = self.request_count = 0
-        self.close_reasons: Counter[Closing] = (
-            Counter()
-        )  # since they were last told; as many as there are reasons
-        self._close_reason: dict[
-            Stream, Closing
-        ] = {}  # of connections that end behind their answer; emptied as they do
+        # Why connections ended, counted since the last `take_close_reasons`; one entry per reason.
+        self.close_reasons: Counter[Closing] = Counter()
+        # Why a connection will end after its response, where known; emptied as the connections end.
+        self._close_reason: dict[Stream, Closing] = {}
         self.accepting = True  # until the listener is closed
-        self.id_prefix = (
-            f"{host.name}.{world.fresh('ids'):x}"  # no other start's, whatever the wall clock says
-        )
+        # Different at each start, whatever the wall clock says.
+        self.id_prefix = f"{host.name}.{world.fresh('ids'):x}"
 
     def serve(self, group: Group, listener: Listener) -> Coro[None]:
+        """Accepts connections until the listener is closed."""
         while True:
             try:
                 stream = yield from listener.accept()
@@ -87,7 +94,8 @@
                     self.rejecting += 1
                     group.spawn(self._reject_connection(stream), "turn away")
                 else:
-                    stream.close()  # at once: a full queue is accepted in one go, and must not take all descriptors
+                    # At once: a full accept queue is accepted in one go, and must not use up all descriptors.
+                    stream.close()
                 self._trim_lingering()
                 continue
             self._trim_lingering()
@@ -96,23 +104,23 @@
             group.spawn(self._serve_connection(stream), "client")
 
     def take_close_reasons(self) -> dict[str, int]:
-        """By reason; counts anew from now on."""
-        found = {str(reason): count for reason, count in sorted(self.close_reasons.items())}
+        """How many connections ended, by reason, since the last call."""
+        counts = {str(reason): count for reason, count in sorted(self.close_reasons.items())}
         self.close_reasons.clear()
-        return found
+        return counts
 
     def _serve_connection(self, stream: Stream) -> Coro[None]:
-        kept = False
+        reused = False
         try:
-            while (yield from self._serve_one(stream, kept)):
-                kept = True
+            while (yield from self._serve_one(stream, reused)):
+                reused = True
             self.lingering[stream] = None
             yield from self._linger(stream)
-        except Lost:  # the client broke it; what it had asked for was told as departed
+        except Lost:  # broken by the client; the host has been told that the client of its request departed
             self.close_reasons[Closing.BROKEN] += 1
-        except Exception as wrong:  # one connection's fault ends that connection alone
+        except Exception as error:  # a fault on one connection ends that connection alone
             self.close_reasons[Closing.RAISED] += 1
-            self.log.exception("door_raised", why=str(wrong))
+            self.log.exception("door_raised", why=str(error))
         finally:
             stream.close()
             self.lingering.pop(stream, None)
@@ -120,18 +128,18 @@
             self.connections -= 1
             self.metrics.connections.labels("clients").set(self.connections)
 
-    def _serve_one(self, stream: Stream, kept: bool) -> Coro[bool]:
-        """Reads and answers one request; whether the connection serves another.
+    def _serve_one(self, stream: Stream, reused: bool) -> Coro[bool]:
+        """Reads and answers one request; True if the connection may carry another.
 
-        Its time limit counts from when its first byte may have come: it may have lain here, unread, while this process
-        was busy or not run.
+        The request's time limit counts from when its first byte may have arrived: the bytes may have been
+        in the socket buffer, unread, while this process was busy or not scheduled.
         """
         reader, held = http.RequestReader(self.max_head, self.max_body), 0
         try:
-            first = yield from self._read_first(stream, kept)
+            first = yield from self._read_first(stream, reused)
             if not first:
                 self.close_reasons[self._reason_without_request(stream)] += 1
-                if not (kept or stream.eof or stream in self.lingering):
+                if not (reused or stream.eof or stream in self.lingering):
                     self._answer_no_request(stream)
                 return False
             began = stream.came
@@ -144,24 +152,24 @@
                 return True
             self.close_reasons[self._close_reason.pop(stream, Closing.LAST_ANSWER)] += 1
             return False
-        except http.BadMessage as wrong:
+        except http.BadMessage as error:
             self.close_reasons[Closing.BAD_REQUEST] += 1
-            self.metrics.refused.labels(f"status {wrong.status}").inc()
+            self.metrics.refused.labels(f"status {error.status}").inc()
             yield from self._send_error(
-                stream, wrong.status, "bad_message", str(wrong), again=wrong.status in (408, 503)
+                stream, error.status, "bad_message", str(error), again=error.status in (408, 503)
             )
             return False
         finally:
             self.body_bytes -= held
 
     def _close_header(self, reader: http.RequestReader) -> list[tuple[str, str]]:
-        """What an answer says if it is its connection's last."""
+        """The header that a response carries if it is the last on its connection."""
         return (
             [] if reader.keep_alive and not reader.extra and not self.stopping else [("connection", "close")]
         )
 
     def _route(self, stream: Stream, reader: http.RequestReader, began: Time) -> Coro[bool]:
-        """`began`: when its first byte came."""
+        """Handles a complete request by its path. `began`: when its first byte arrived."""
         path, method = reader.path, reader.method
         if path in GENERATE and method == "POST":
             return (yield from self._handle_generation(stream, reader, began))
@@ -200,14 +208,14 @@
         if (reason := self._accept_denial()) is not None:
             self._record_denied(stream, reader, reason)
             yield from self._send_error(
-                stream, 503, "stopping", "the gateway stops; try another", True, self.retry_after
+                stream, 503, "stopping", "the gateway is stopping; try another one", True, self.retry_after
             )
             return False
         try:
-            ask = self._parse_request(stream, reader, began)
-        except BadRequest as wrong:
+            request = self._parse_request(stream, reader, began)
+        except BadRequest as error:
             self.metrics.refused.labels("request").inc()
-            body = error_body(str(wrong), "bad_request", "invalid_request_error")
+            body = error_body(str(error), "bad_request", "invalid_request_error")
             stream.write(http.response(400, body, [("x-should-retry", "false"), *self._close_header(reader)]))
             return (
                 (yield from self._drain_answer(stream))
@@ -217,31 +225,38 @@
             )
         except http.BadMessage:
             raise
-        except Exception as wrong:  # a request that was read is owed an answer, whatever is odd about it
-            self.log.exception("request_raised", why=str(wrong))
-            raise http.BadMessage(500, "this request could not be worked with") from None
+        except Exception as error:  # a request that was read is owed a response, whatever is unusual about it
+            self.log.exception("request_raised", why=str(error))
+            raise http.BadMessage(500, "internal error while reading the request") from None
         reader.pieces = []
-        if (yield from self._serve_request(stream, reader, ask)):
+        if (yield from self._serve_request(stream, reader, request)):
             return True
-        self._check_end(ask)
+        self._check_end(request)
         return False
 
-    def _check_end(self, ask: ClientRequest) -> None:
-        """The connection ends now. Guards against a request that was taken and is given up without its answer."""
-        left = not ask.answered and ask.client_left()
-        ending = ConnectionState(taken=True, answered=ask.answered, client_left=left)
-        if (reason := end_denial(ending)) is not None and self.host.denials.note(Act.END, reason):
-            self.log.error("invariant_broken", act=Act.END, reason=reason, generation=ask.gen.name)
+    def _check_end(self, request: ClientRequest) -> None:
+        """Reports a broken invariant if the connection ends while its accepted request has no response."""
+        left = not request.answered and request.client_left()
+        ending = ConnectionState(accepted=True, answered=request.answered, client_left=left)
+        if (reason := end_denial(ending)) is not None and self.host.denials.record(Act.END, reason):
+            self.log.error("invariant_broken", act=Act.END, reason=reason, generation=request.gen.name)
 
     def _record_denied(self, stream: Stream, reader: http.RequestReader, reason: Reason) -> None:
-        self.host.denials.note(Act.TAKE, reason)
+        self.host.denials.record(Act.ACCEPT, reason)
         self._close_reason[stream] = Closing.STOPPING
         if self.host.trace_limiter.tells(self.world.now(), reason):
-            named = next((reader.headers[one] for one in REQUEST_ID_FIELDS if one in reader.headers), "")
-            self.log.info("untaken", id=named, why=reason, left_out=self.host.trace_limiter.take_left_out())
+            request_id = next(
+                (reader.headers[field] for field in REQUEST_ID_FIELDS if field in reader.headers), ""
+            )
+            self.log.info(
+                "untaken", id=request_id, why=reason, left_out=self.host.trace_limiter.take_left_out()
+            )
 
     def _parse_request(self, stream: Stream, reader: http.RequestReader, began: Time) -> ClientRequest:
-        """What a whole request asks for. Raises BadRequest, or BadMessage which ends the connection as well."""
+        """Builds the request from a complete message.
+
+        Raises BadRequest, or BadMessage, after which the connection ends as well.
+        """
         self.request_count += 1
         assert self.request_parser is not None
         facts = self.request_parser.parse(
@@ -263,60 +278,63 @@
             facts.repeat,
             False,
         )
-        ask = OpenAIRequest(gen, stream, reader.path, facts.fields, facts.request_id, facts.streamed)
+        request = OpenAIRequest(gen, stream, reader.path, facts.fields, facts.request_id, facts.streamed)
         if self.token_translator is not None:
-            ask.token_fields = self.token_translator.spoken(facts)
-        return ask
+            request.token_fields = self.token_translator.spoken(facts)
+        return request
 
-    def _serve_request(self, stream: Stream, reader: http.RequestReader, ask: ClientRequest) -> Coro[bool]:
-        """From a taken generation to its final answer; whether the connection serves another."""
-        if (
-            ask.client_left()
-        ):  # with its request, or while that waited here for its turn: nothing is begun for it
-            if ask.extra_exceeded:
+    def _serve_request(
+        self, stream: Stream, reader: http.RequestReader, request: ClientRequest
+    ) -> Coro[bool]:
+        """Serves a request up to its final response; True if the connection may carry another."""
+        # The client may have left right after its request, or while that waited here to be read: nothing
+        # is started.
+        if request.client_left():
+            if request.extra_exceeded:
                 yield from self._refuse_pipelining(stream)
-            elif ask.fin_received:
-                ask.refuse_half_closed()
+            elif request.fin_received:
+                request.refuse_half_closed()
             self._close_reason[stream] = Closing.CLIENT_LEFT
             return False
-        ask.close_after = self.stopping or not reader.keep_alive
-        self.host.request_arrived(ask)
+        request.close_after = self.stopping or not reader.keep_alive
+        self.host.request_arrived(request)
         try:
-            yield from self._wait_for_answer(stream, ask)
+            yield from self._wait_for_answer(stream, request)
         finally:
-            if not ask.answered:
-                self.host.client_departed(ask)
-        if ask.end == DEPARTED:
+            if not request.answered:
+                self.host.client_departed(request)
+        if request.end == DEPARTED:
             self._close_reason[stream] = Closing.CLIENT_LEFT
-            if ask.extra_exceeded:
+            if request.extra_exceeded:
                 yield from self._refuse_pipelining(stream)
             return False
-        if ask.stream_cut:
+        if request.stream_cut:
             self._close_reason[stream] = Closing.STREAM_CUT
             return False
-        if not (yield from self._drain_answer(stream, ask.drain_time)):
+        if not (yield from self._drain_answer(stream, request.drain_time)):
             self._close_reason[stream] = Closing.NOT_TAKEN
             return False
-        if ask.extra_bytes or reader.extra:
+        if request.extra_bytes or reader.extra:
             self._close_reason[stream] = Closing.PIPELINED
             yield from self._send_error(
-                stream, 400, "pipelining_refused", "ask again once the answer is whole", again=True
+                stream, 400, "pipelining_refused", "send the next request after the response", again=True
             )
             return False
-        return reader.keep_alive and not self.stopping and not ask.close_after
+        return reader.keep_alive and not self.stopping and not request.close_after
 
-    def _wait_for_answer(self, stream: Stream, ask: ClientRequest) -> Coro[None]:
-        """Until the final answer, or until the client has left; also one that has sent on is attended to.
+    def _wait_for_answer(self, stream: Stream, request: ClientRequest) -> Coro[None]:
+        """Waits for the final response, or for the client to leave; watches for further bytes meanwhile.
 
-        Not one that has ended its sending while its answer streams: nothing more can come, and a write tells if it left.
+        Does not watch after FIN while the response streams: nothing more can arrive, and a write shows if the
+        client left.
         """
-        ask.waiting_task = self.world.current
+        request.waiting_task = self.world.current
         try:
-            while not ask.answered:
-                stream.attend(None if ask.extra_exceeded or ask.fin_received else self.world.current)
+            while not request.answered:
+                stream.attend(None if request.extra_exceeded or request.fin_received else self.world.current)
                 yield
-                if not ask.answered and ask.client_left():
-                    self.host.client_departed(ask)
+                if not request.answered and request.client_left():
+                    self.host.client_departed(request)
         finally:
-            ask.waiting_task = None
+            request.waiting_task = None
             stream.attend(None)
--- a/stackpitch/gateway/client_request.py
+++ b/stackpitch/gateway/client_request.py
@@ -1,4 +1,4 @@
-"""One client's request on its way through the gateway, and the one place that writes its answer."""
+"""A client's request while the gateway handles it, and the only code that writes its response."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -13,15 +13,18 @@
 from stackpitch.wire.collect import Collector
 from stackpitch.wire.engine import error_body
 
-DEPARTED = "departed"  # the end of a request whose client has left
-MAX_EXTRA_BYTES = (
-    1 << 19
-)  # bytes after a request: one more of the largest, which is refused once this one is answered
+DEPARTED = "departed"  # how a request ended whose client disconnected
+# Bytes read past the end of a request: enough for a second request of the largest size, which is refused
+# once the first has its response.
+MAX_EXTRA_BYTES = 1 << 19
 
 
 @dataclass(frozen=True, slots=True)
 class HeldState:
-    """A read state at a reader. It lives while the connection that read it stays open."""
+    """KV state that a reader holds for a request.
+
+    It exists only while the connection that it was read over is open.
+    """
 
     server: Server
     pool: Pool
@@ -29,42 +32,45 @@
 
 
 class ClientRequest:
-    """A taken generation with its client. Kept by the host until it is over and its last leg is back.
+    """An accepted generation and its client connection.
 
-    `begin`, `forward`, `finish`, `refuse` and `fail_stream` write to the client, each front in its own way; the last
-    three are final answers, and after the first of them nothing is written.
+    The host keeps it until the generation is over and its last leg has ended.
+
+    `begin`, `forward`, `finish`, `refuse` and `fail_stream` write to the client; each protocol overrides
+    them. The last three write the final response, and nothing is written after the first of them.
     """
 
     def __init__(self, gen: Generation, client: Stream, target: str) -> None:
         self.gen, self.target = gen, target
         self.client: Stream | None = client
-        self.serving: Leg | None = None  # the leg whose stream the client gets
-        self.tasks: dict[Leg, Task] = {}  # legs out
-        self.unsent: set[Leg] = set()  # of them, those whose last byte has not been handed over
-        self.extra_bytes = 0  # bytes that came after the request; none is kept
-        self.fin_received = (
-            False  # the client closed, or half-closed and still reads: which of them can't be told
-        )
+        self.serving: Leg | None = None  # the leg whose stream the client receives
+        self.tasks: dict[Leg, Task] = {}  # tasks of the running legs
+        self.unsent: set[Leg] = set()  # running legs whose request is not completely written yet
+        self.extra_bytes = 0  # bytes received after the end of the request; they are discarded
+        # The client closed the connection, or half-closed it and still reads; the two look alike from here.
+        self.fin_received = False
         self.begun = self.answered = False
-        self.stream_cut = False  # the stream was broken off, nothing can be written after it
-        self.close_after = (
-            False  # this answer is the connection's last, and says so where its head is still to come
-        )
-        self.leg_errors: dict[int, str] = {}  # by leg, what its engine or connection did, for the log
-        self.drain_time: Time | None = (
-            None  # for its client to take what is left of a whole answer; None: as for a small one
-        )
-        self.steps: Steps = []  # what happened to it, for the log
-        self.end = ""  # how it ended, for counts and logs
-        self.waiting_task: Task | None = None  # the door's task
+        self.stream_cut = False  # the stream ended early, so nothing more can be written on this connection
+        # This response is the last one on its connection; a head that is still to be written says so.
+        self.close_after = False
+        self.leg_errors: dict[int, str] = {}  # by leg number: what its engine or connection did, for the log
+        # How long the client may take to read the rest of a complete response; None: as for a small response.
+        self.drain_time: Time | None = None
+        self.steps: Steps = []  # trace of the request, for the log
+        self.end = ""  # how the request ended, for metrics and logs
+        self.waiting_task: Task | None = None  # the connection's task, woken by the final response
         self.watchdog: Timer | None = None
         self.first_token: Time | None = None
 
     def client_left(self) -> bool:
-        """Looks now whether the client has left, also behind bytes that it sent on. One that goes on sending counts as
-        left: whether it has closed can't be seen behind what it sends, and reading all of it would cost the others.
+        """Checks now whether the client has disconnected, reading and discarding up to `MAX_EXTRA_BYTES`.
+
+        A client that sends more than that counts as disconnected: a close can't be seen behind unread
+        bytes, and reading all of them would take time from other clients.
 
-        One that has ended its sending counts as left until its answer streams; then the next write tells."""
+        A client that has sent FIN counts as disconnected until its response streams; from then on the
+        next write tells whether it still reads.
+        """
         try:
             while self.client is not None and self.extra_bytes <= MAX_EXTRA_BYTES:
                 data = self.client.recv_now(look=True)
@@ -78,46 +84,47 @@
 
     @property
     def streaming(self) -> bool:
-        """Whether output is written to the client as it comes."""
+        """Whether output is written to the client as it arrives."""
         return self.begun
 
     def refuse_half_closed(self) -> None:
-        """The final answer for a client that has ended its sending: no attempt begins for it any more, but it may read."""
+        """Answers a client that has sent FIN: no further leg starts, but it may still be reading."""
         nothing_ran = self.unsent.issuperset(self.gen.ran())
         status = 429 if nothing_ran else 502
         self.refuse(
-            status, DEPARTED, "the client ended its sending before its answer came", again=nothing_ran
+            status, DEPARTED, "the client closed its sending side before the response", again=nothing_ran
         )
 
     @property
     def extra_exceeded(self) -> bool:
+        """Whether the client sent more after its request than is read."""
         return self.extra_bytes > MAX_EXTRA_BYTES
 
     def begin(self, now: Time) -> None:
-        """The first token is here."""
+        """Called when the first token has arrived."""
         raise NotImplementedError
 
     def forward(self, pieces: Sequence[bytes]) -> bool:
-        """Part of a stream's body, framed anew; False if the client is not there any more."""
+        """Writes part of a stream's body with framing of its own; False if the client is gone."""
         raise NotImplementedError
 
     def finish(self) -> None:
-        """The whole answer has been passed on."""
+        """Ends a response of which everything has been forwarded."""
         raise NotImplementedError
 
     def refuse(self, status: int, code: str, message: str, again: bool, retry_after: Time = 0) -> None:
-        """A final answer before any output; `again`: whether the client may ask again without harm."""
+        """Writes a final error response before any output. `again`: a retry by the client is safe."""
         raise NotImplementedError
 
     def fail_stream(self, code: str, message: str) -> None:
-        """A final answer to a stream that had begun."""
+        """Ends a response whose stream had begun and could not be completed."""
         raise NotImplementedError
 
     def _close_header(self) -> list[tuple[str, str]]:
         return [("connection", "close")] if self.close_after else []
 
     def _write(self, data: bytes) -> bool:
-        """False if the client is not there any more."""
+        """False if the client is gone."""
         if self.client is None:
             return False
         try:
@@ -127,7 +134,7 @@
         return True
 
     def detach_client(self) -> None:
-        """The client has departed: nothing more is written."""
+        """Called when the client has disconnected: nothing more is written."""
         self.client = None
         if not self.answered:
             self._mark_answered(DEPARTED)
@@ -139,7 +146,7 @@
 
 
 class OpenAIRequest(ClientRequest):
-    """An ask at the OpenAI-style door, whose legs go to engines."""
+    """A request of the OpenAI-style API, whose legs go to engines."""
 
     def __init__(
         self,
@@ -153,21 +160,25 @@
         super().__init__(gen, client, target)
         self.fields, self.request_id = fields, request_id
         self.collector = None if streamed else Collector(target.endswith("chat/completions"))
-        self.held_states: dict[Leg, HeldState] = {}  # reads whose state waits; emptied by start or release
-        self.reserved_server: Server | None = None  # held ahead; emptied by start or release
+        # KV states held at readers, by the leg that read them; emptied when a stream starts or on release.
+        self.held_states: dict[Leg, HeldState] = {}
+        # The server with a slot reserved for the write; cleared when a stream starts there or on release.
+        self.reserved_server: Server | None = None
         self.reserved_leg: Leg | None = None
-        # By vocabulary that it may be read and answered in, the fields that say token ids; None: it says none.
+        # The body fields that carry token ids, by each vocabulary of servers that the request may go to;
+        # None: the request has no token ids.
         self.token_fields: dict[str, dict[str, msgspec.Raw]] | None = None
 
     @property
     def streaming(self) -> bool:
+        """Whether output is written to the client as it arrives."""
         return self.begun and self.collector is None
 
     def _headers(self) -> list[tuple[str, str]]:
         return [("x-request-id", self.request_id), *self._close_header()]
 
     def begin(self, now: Time) -> None:
-        """The first token is here."""
+        """Called when the first token has arrived."""
         self.begun, self.first_token = True, now
         if self.collector is None:
             self._write(
@@ -183,14 +194,14 @@
             )
 
     def forward(self, pieces: Sequence[bytes]) -> bool:
-        """Part of a stream's body, framed anew; False if the client is not there any more."""
+        """Writes part of a stream's body as chunks, or collects it; False if the client is gone."""
         if self.collector is not None:
             self.collector.feed(b"".join(pieces))
             return self.client is not None
-        return self._write(b"".join(http.chunk(one) for one in pieces)) if pieces else True
+        return self._write(b"".join(http.chunk(piece) for piece in pieces)) if pieces else True
 
     def finish(self) -> None:
-        """The whole answer has been passed on."""
+        """Ends a response of which everything has been forwarded."""
         if self.answered:
             return
         if self.collector is not None:
@@ -200,7 +211,7 @@
         self._mark_answered("streamed")
 
     def refuse(self, status: int, code: str, message: str, again: bool, retry_after: Time = 0) -> None:
-        """A final answer before any output; `again`: whether the client may ask again without harm."""
+        """Writes a final error response before any output. `again`: a retry by the client is safe."""
         if self.answered:
             return
         headers = [*self._headers(), ("x-should-retry", "true" if again else "false")]
@@ -213,7 +224,7 @@
         self._mark_answered(code)
 
     def fail_stream(self, code: str, message: str) -> None:
-        """A final answer to a stream that had begun: exactly one error event, then the end of the body."""
+        """Ends a stream that had begun: exactly one error event, then the end of the body."""
         if self.answered:
             return
         if self.collector is not None:
--- a/stackpitch/gateway/connection_closing.py
+++ b/stackpitch/gateway/connection_closing.py
@@ -1,5 +1,8 @@
-"""How a door's connections end: resting ones make way or are half-closed, answers are taken first, nothing is reset that may
-hold an answer."""
+"""How client connections end.
+
+Idle connections are evicted or half-closed, a response is drained first, and no connection is reset while its
+last response may still be on the way to the client.
+"""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
@@ -15,14 +18,16 @@
 if TYPE_CHECKING:
     from stackpitch.gateway.metrics import Metrics
 
-FAREWELL = (
-    SECOND // 2
-)  # from the half-close to the close, for a client to take the last answer and to end its side
+# From the half-close to the close: time for the client to receive the last response and close its side.
+LINGER_TIME = SECOND // 2
 
 
 @dataclass(eq=False, slots=True)
 class IdleConnection:
-    """A connection without a request. `reused`: it had one before. `first`: what had come when it was to end."""
+    """A connection without a request.
+
+    `reused`: it has carried one. `first`: bytes that had come as it was to end.
+    """
 
     reused: bool
     scope: Scope
@@ -30,84 +35,98 @@
 
 
 class ConnectionCloser:
-    """A door's part that ends connections. Tables: none beyond the connections that are open."""
+    """The part of the client listener that ends connections.
 
-    max_over_limit = (
-        16  # connections beyond the bound: those that are told why, others being closed without a word, and
-    )
-    # those half-closed for others to have their place
+    Its tables have an entry per open connection at most.
+    """
+
+    # How many connections beyond the bound may be open: those that receive a 503 (further ones are closed
+    # without a response), and those half-closed to make room for others.
+    max_over_limit = 16
 
     def __init__(self, world: World, host: Host, metrics: "Metrics", max_body: int, stall: Time) -> None:
         self.world, self.host, self.metrics, self.max_body, self.stall = world, host, metrics, max_body, stall
-        self.rejecting = 0  # connections that are being turned away
-        self.idle_connections: dict[
-            Stream, IdleConnection
-        ] = {}  # connections without a request; emptied by one, or by ending
+        self.rejecting = 0  # connections that are being sent a 503 because too many are open
+        # Connections without a request, longest idle first; emptied by a request or by the end.
+        self.idle_connections: dict[Stream, IdleConnection] = {}
         self.lingering: dict[Stream, None] = {}  # half-closed or about to be; emptied by their close
         self.stopping = False
 
     def _evict_idle(self) -> bool:
-        """Ends the connection that has been without a request for the longest time; False if all have one."""
+        """Ends the connection that has been idle for the longest time; False if all have a request."""
         return any(self._end_idle(stream) for stream in list(self.idle_connections))
 
     def _trim_lingering(self) -> None:
-        """Those that linger have given up their place, but hold a descriptor: as many as are kept back for it may."""
+        """Closes the oldest lingering connections beyond the descriptors that are reserved for them.
+
+        A lingering connection no longer counts against the connection bound, but still holds a descriptor.
+        """
         while len(self.lingering) > max(0, self.max_over_limit - self.rejecting):
             stream = next(iter(self.lingering))
             del self.lingering[stream]
             stream.close()
 
     def _end_idle(self, stream: Stream) -> bool:
-        """Half-closes a resting connection; False if a request had come on it, which is served then. What comes from now
-        on is read, so that the close is no reset, and goes nowhere."""
-        rest = self.idle_connections.pop(stream)
+        """Half-closes an idle connection; False if a request has arrived on it, which is then served.
+
+        What arrives from now on is read, so that the close causes no reset, and is discarded.
+        """
+        idle = self.idle_connections.pop(stream)
         try:
-            rest.first = stream.recv_now(look=True) or b""
+            idle.first = stream.recv_now(look=True) or b""
         except Lost:
             pass
-        reason = end_denial(ConnectionState(unread=bool(rest.first)))
+        reason = end_denial(ConnectionState(unread=bool(idle.first)))
         if reason is None:
             self.lingering[stream] = None
-            if not rest.reused:
+            if not idle.reused:
                 self._answer_no_request(stream)
             stream.finish()
         else:
-            self.host.denials.note(Act.END, reason)
-        rest.scope.cancel()
+            self.host.denials.record(Act.END, reason)
+        idle.scope.cancel()
         return reason is None
 
     def close_idle(self) -> None:
-        """On stopping: connections with no request end, and answers whose head is still to come say that they are their
-        connection's last. New connections may have a request on its way, and end once it would not be taken."""
+        """Called when the gateway stops: ends idle connections, and the others after their response.
+
+        Responses whose head is still to be written announce the close. A new connection may have a
+        request on its way, so it stays open until requests are no longer accepted.
+        """
         self.stopping = True
-        for ask in self.host.requests.values():
-            ask.close_after = True
-        takes = self._accept_denial() is None
-        for stream in [one for one, rest in self.idle_connections.items() if rest.reused or not takes]:
+        for request in self.host.requests.values():
+            request.close_after = True
+        accepts = self._accept_denial() is None
+        for stream in [
+            candidate for candidate, idle in self.idle_connections.items() if idle.reused or not accepts
+        ]:
             self._end_idle(stream)
 
     def _accept_denial(self) -> Reason | None:
-        """Why a request that is complete now may not be taken."""
+        """Why a request that is complete now may not be accepted; None: it may."""
         return accept_denial(self.world.now(), self._accepts_until())
 
     def _accepts_until(self) -> Time | None:
-        """When the last request may be taken; None while the gateway doesn't stop."""
+        """Until when requests are accepted; None while the gateway is not stopping."""
         return 0 if self.stopping else None
 
     def _answer_no_request(self, stream: Stream) -> None:
-        """On a new connection that ends before its request came. Guards against a request that crosses the end: it is read
-        and dropped, and its client would be left without an answer; on a kept connection it is sent anew."""
-        body = error_body("no request came in time; try again", "no_request", "server_error")
+        """Writes a 503 on a new connection that ends before its first request.
+
+        A request that crosses the close is read and discarded, and its client would be left without a
+        response. On a reused connection clients retry such a request by themselves.
+        """
+        body = error_body("no request arrived in time; try again", "no_request", "server_error")
         headers = [("x-should-retry", "true"), ("connection", "close")]
         try:
             stream.write(http.response(503, body, headers))
         except Lost:
-            pass  # it has gone
+            pass  # the client is gone
 
     def _reject_connection(self, stream: Stream) -> Coro[None]:
         try:
             yield from self._send_error(
-                stream, 503, "overfull", "no connection is free here; try again", again=True
+                stream, 503, "overfull", "too many connections; try again", again=True
             )
         finally:
             self.rejecting -= 1
@@ -116,7 +135,7 @@
     def _send_error(
         self, stream: Stream, status: int, code: str, text: str, again: bool, retry_after: Time = 0
     ) -> Coro[None]:
-        """Answers what is not taken, then closes so that the answer is not lost to a reset."""
+        """Writes an error response, then closes without a reset that could destroy it."""
         kind = "invalid_request_error" if 400 <= status < 500 else "server_error"
         headers = [("x-should-retry", "true" if again else "false"), ("connection", "close")]
         if retry_after:
@@ -125,18 +144,21 @@
             stream.write(http.response(status, error_body(text, code, kind), headers))
             yield from self._linger(stream)
         except Lost:
-            pass  # it did not wait for the answer
+            pass  # the client did not wait for the response
         finally:
             stream.close()
 
     def _linger(self, stream: Stream) -> Coro[None]:
-        """Half-closes behind what is written, then reads until the client ends its side. A close with bytes unread, or bytes
-        that come after it, make a reset, which destroys what the client's system has not taken yet: as long as that goes
-        on taking, or for `stall`, the close waits."""
-        left = self.max_body  # bytes: what a stranger sends at full speed must not take the time of others
-        pending, rounds = 0, max(1, self.stall // FAREWELL)
+        """Lingering close: half-closes after pending writes, then reads until the client closes its side.
+
+        A close with unread bytes, or bytes that arrive after it, cause a reset, which destroys what the
+        client's system has not received yet. So the close waits while that system goes on acknowledging,
+        or for `stall`.
+        """
+        left = self.max_body  # bytes: a client that sends at full speed must not take the time of the others
+        pending, rounds = 0, max(1, self.stall // LINGER_TIME)
         for _ in range(2 * rounds):
-            with self.world.limit(FAREWELL) as scope:
+            with self.world.limit(LINGER_TIME) as scope:
                 yield from stream.drain()
                 stream.finish()
                 while left > 0 and (data := (yield from stream.recv())):
@@ -146,12 +168,14 @@
             if not scope.expired or not pending or not rounds:
                 return
 
-    def _drain_answer(self, stream: Stream, most: Time | None = None) -> Coro[bool]:
-        """Whether the client took its answer. One that asks and never reads, or reads a byte now and then, would keep its
-        place for good. `most`: that it may take altogether, if that is longer than `stall`."""
-        return (yield from drain_client(self.world, stream, 0, self.stall, most or self.stall))
+    def _drain_answer(self, stream: Stream, time_limit: Time | None = None) -> Coro[bool]:
+        """Whether the client has read its response. One that never reads, or a byte now and then, is cut off.
+
+        `time_limit`: for all of it, if that is longer than `stall`.
+        """
+        return (yield from drain_client(self.world, stream, 0, self.stall, time_limit or self.stall))
 
     def _refuse_pipelining(self, stream: Stream) -> Coro[None]:
         yield from self._send_error(
-            stream, 400, "pipelining_refused", "ask again once the answer is whole", again=False
+            stream, 400, "pipelining_refused", "send the next request after the response", again=False
         )
--- a/stackpitch/gateway/connections.py
+++ b/stackpitch/gateway/connections.py
@@ -1,4 +1,4 @@
-"""Kept connections to all engines of a gateway, and the small calls over them."""
+"""Pooled connections to all engines of a gateway, and the short calls made over them."""
 
 from typing import TYPE_CHECKING
 
@@ -16,7 +16,7 @@
 
 
 class EngineConnections:
-    """One pool for each server. `name`: this gateway's, said in each call."""
+    """One connection pool per server. `name`: this gateway's, sent with each call."""
 
     def __init__(
         self, world: World, log: "Log", name: str, roster: Roster, bounds: Bounds, budget: Budget | None
@@ -29,10 +29,11 @@
             bounds,
             budget,
         )
-        self.pools: dict[Server, Pool] = {}  # emptied when a server is gone and its last leg is back
-        self.pending_calls = 0  # small calls under way
+        self.pools: dict[Server, Pool] = {}  # emptied of a server that is gone once its last leg has ended
+        self.pending_calls = 0  # calls other than legs
 
     def pool(self, server: Server) -> Pool:
+        """The server's pool, created at the first use."""
         pool = self.pools.get(server)
         if pool is None:
             bounds = self.bounds
@@ -48,20 +49,23 @@
         return pool
 
     def apply_bounds(self, bounds: Bounds) -> None:
+        """Puts other bounds in force, for the existing pools too."""
         self.bounds = bounds
         for pool in self.pools.values():
             pool.apply_bounds(bounds.pool, bounds.connect, bounds.idle, bounds.settle)
 
     def close(self, server: Server) -> None:
-        """The server is gone, or at another address."""
+        """Closes the pool of a server that is gone or has another address."""
         if (pool := self.pools.pop(server, None)) is not None:
             pool.close()
 
     def exchange(
         self, stream: Stream, method: str, target: str, name: str, body: bytes, last: bool = False
     ) -> Coro[http.ResponseReader | None]:
-        """One request and its whole answer, the body in `pieces`; None if it can't be followed by another, unless it is
-        the `last`."""
+        """Writes a request and reads its complete response, with the body in `pieces`.
+
+        None if the connection can't carry another request afterwards, unless this is the `last` one.
+        """
         request = http.request(method, target, name, body, [("x-gateway", self.name)])
         reader = yield from answered(stream, request, self.bounds.max_head, 1 << 16)
         if reader is None:
@@ -69,22 +73,24 @@
         return reader if last or (reader.keep_alive and not reader.extra) else None
 
     def tracked(self, call: Coro[None]) -> Coro[None]:
+        """Runs a call, counts it as pending meanwhile, and logs what it raises."""
         self.pending_calls += 1
         try:
             yield from call
-        except (Lost, ConnectFailed) as wrong:
-            self.log.warning("call_failed", why=str(wrong))
-        except (
-            Exception
-        ) as wrong:  # guards the gateway against an answer that nobody thought of: it costs its call
-            self.log.exception("call_raised", why=str(wrong))
+        except (Lost, ConnectFailed) as error:
+            self.log.warning("call_failed", why=str(error))
+        except Exception as error:  # an unforeseen response must cost its call alone, not the gateway
+            self.log.exception("call_raised", why=str(error))
         finally:
             self.pending_calls -= 1
 
     def call(
         self, server: Server, method: str, target: str, body: bytes, limit: Time | None = None
     ) -> Coro[http.ResponseReader | None]:
-        """One small call; None if no whole answer came in time. `limit`: other than the bounds in force have it."""
+        """Makes one short call; None if no complete response came in time.
+
+        `limit`: a time limit in place of that of the bounds in force.
+        """
         if server not in self.roster.addresses:
             return None
         pool, phase = self.pool(server), [Phase.QUEUED]
--- a/stackpitch/gateway/engines.py
+++ b/stackpitch/gateway/engines.py
@@ -1,4 +1,4 @@
-"""The front towards engines that speak the OpenAI-style API with transfers of state (`docs/engine-protocol.md`)."""
+"""The backend for engines with the OpenAI-style API and KV transfers (`docs/engine-protocol.md`)."""
 
 from collections import deque
 
@@ -17,20 +17,20 @@
 
 
 class EngineLeg(LegRunner):
-    """A read, a write that fetches a state, or a writer's own read and answer."""
+    """A read (prefill), a write that fetches KV state, or both at one writer."""
 
-    TAIL = 16  # last pieces of a stream's body, in which its usage and its last event are
+    TAIL = 16  # last pieces of a stream's body that are kept: they hold its usage and its last event
 
-    def __init__(self, front: "EngineBackend", ask: OpenAIRequest, leg: Leg, limit: Time) -> None:
-        super().__init__(front.host, ask, leg, limit)
-        self.backend, self.openai_request = front, ask
+    def __init__(self, backend: "EngineBackend", request: OpenAIRequest, leg: Leg, limit: Time) -> None:
+        super().__init__(backend.host, request, leg, limit)
+        self.backend, self.openai_request = backend, request
         self.part: engine.Part = "read" if leg.server.role == "reader" else "whole"
 
     def _load_report(self) -> str | None:
         return self.reader.trailers.get(orca.HEADER) or self.reader.headers.get(orca.HEADER)
 
     def _return_connection(self, pool: Pool, stream: Stream, end: LegEnd | None) -> None:
-        """The connection of a read stays with its state: closing it lets go of the state, whatever else fails."""
+        """Keeps a read's connection with its KV state: closing it frees the state, whatever else fails."""
         if end is not None and end.outcome == "read":
             self.openai_request.held_states[self.leg] = HeldState(self.leg.server, pool, stream)
         else:
@@ -41,7 +41,7 @@
         source = self.backend.source(self.openai_request)
         vocabulary = host.roster.vocabularies.get(self.leg.server, "")
         if source is not None and host.roster.vocabularies.get(source.server, "") != vocabulary:
-            source = None  # a state of another vocabulary means nothing here
+            source = None  # KV state of another vocabulary is meaningless here
         transfer = engine.Transfer(self.backend.state_id(self.leg))
         if self.part == "read":
             transfer.do_remote_decode = True
@@ -61,8 +61,11 @@
             headers.append(("x-session-id", http.one_line(gen.session)))
         fields = self.openai_request.fields
         if self.openai_request.token_fields is not None:
-            fields = fields | self.openai_request.token_fields[vocabulary]  # sent nowhere else (`tongues`)
-        if vocabulary:  # against a list here that is older than the engine: its state would go to a writer of the other one
+            # Present for every vocabulary that `VocabularyFilter` allows.
+            fields = fields | self.openai_request.token_fields[vocabulary]
+        # The engine may run on a newer vocabulary than the list here says. With the header it refuses the
+        # leg; without, its KV state would go to a writer of the older vocabulary.
+        if vocabulary:
             headers.append((engine.VOCABULARY, vocabulary))
         return engine.leg_request(
             self.openai_request.target,
@@ -80,10 +83,10 @@
             yield from self._read_more(stream)
         self.phase[0] = Phase.HEAD
         if self.part == "read" or reader.status != 200:
-            return (yield from self._whole(stream))
+            return (yield from self._read_full_answer(stream))
         if not reader.headers.get("content-type", "").startswith("text/event-stream"):
-            found = reader.headers.get("content-type")
-            raise http.BadMessage(502, f"content-type: found {found!r}; text/event-stream is allowed")
+            content_type = reader.headers.get("content-type")
+            raise http.BadMessage(502, f"content-type: found {content_type!r}; allowed: text/event-stream")
         while not reader.pieces:
             if reader.complete:
                 return self._failure_end("garbled", "a stream without any event")
@@ -91,45 +94,45 @@
         fetched = reader.headers.get(engine.STATE_HEADER) == "fetched"
         scope.relax()
         if not self.host.leg_started(self.openai_request, self.leg, fetched):
-            return self._failure_end("cancelled", "nobody wants it")
+            return self._failure_end("cancelled", "no longer wanted")
         self.phase[0] = Phase.STREAMING
         return (yield from self._relay(stream))
 
-    def _whole(self, stream: Stream) -> Coro[LegEnd]:
-        """An answer that is no stream: a read, a refusal or an error."""
+    def _read_full_answer(self, stream: Stream) -> Coro[LegEnd]:
+        """Reads a response that is no stream: that of a read, a refusal or an error."""
         pieces = self.reader.pieces
         while not self.reader.complete:
             yield from self._read_more(stream)
             pieces = pieces + self.reader.pieces
         body = b"".join(pieces)
-        kept: object = 0
-        whole, why = False, f"status {self.reader.status}"
+        cached_tok: object = 0
+        valid, why = False, f"status {self.reader.status}"
         if self.part == "read" and self.reader.status == 200:
             try:
-                kept, whole = engine.read_answer(body).usage.kept_of(self.leg.gen.prompt_tok), True
-            except ValueError as wrong:
-                why = f"a reader's answer is wanted: {wrong}"  # an error by the rule of outcomes
+                cached_tok, valid = engine.read_answer(body).usage.kept_of(self.leg.gen.prompt_tok), True
+            except ValueError as error:
+                why = f"not a reader's response: {error}"  # which makes it an error
         outcome, no_state = answer_outcome(
-            self.part, self.reader.status, engine.refusal(self.reader.status, body), whole
+            self.part, self.reader.status, engine.refusal(self.reader.status, body), valid
         )
-        return LegEnd(outcome, self.phase[0], kept, no_state, self._load_report(), why)
+        return LegEnd(outcome, self.phase[0], cached_tok, no_state, self._load_report(), why)
 
     def _relay(self, stream: Stream) -> Coro[LegEnd]:
-        """Passes the stream on as it comes; a client that is slow holds up its engine, not the memory.
+        """Forwards the stream as it arrives. A slow client slows its engine down instead of filling memory.
 
-        Every token passes here, so the way of most is kept short: one read, one parse, one write.
+        Every token passes through here, so the common path is short: one read, one parse, one write.
         """
-        reader, ask, host = self.reader, self.openai_request, self.host
-        feed, recv, buffer, row = reader.feed, stream.recv_now, host.bounds.buffer, 0
+        reader, request, host = self.reader, self.openai_request, self.host
+        feed, recv, buffer, reads = reader.feed, stream.recv_now, host.bounds.buffer, 0
         pieces, tail = reader.pieces, deque(reader.pieces, maxlen=self.TAIL)
-        gone = not ask.forward(pieces)  # the first feed held the head, so it is framed anew
+        gone = not request.forward(pieces)  # the bytes read first include the head, so these are framed again
         self._watch_gap(stream)
         stream.attend(host.world.current)
         try:
             while not (reader.complete or gone):
                 raw = recv()
                 if raw is None:
-                    row = 0
+                    reads = 0
                     yield
                     continue
                 if not raw:
@@ -139,17 +142,17 @@
                 pieces = reader.pieces
                 tail.extend(pieces)
                 self.stream_bytes += len(raw)
-                client = ask.client
+                client = request.client
                 if (
                     client is None
                     or reader.complete
                     or not (aligned and reader.aligned)
-                    or ask.collector is not None
+                    or request.collector is not None
                 ):
-                    gone = not ask.forward(pieces)
+                    gone = not request.forward(pieces)
                 else:
                     try:
-                        client.write(raw)  # whole chunks, as they came
+                        client.write(raw)  # complete chunks, with the engine's framing
                     except Lost:
                         gone = True
                 if gone or client is None:
@@ -157,9 +160,9 @@
                 if client.buffered > buffer and not (yield from self._wait_for_client(client)):
                     gone = True
                     continue
-                row += 1
-                if row > self.MAX_READS_IN_A_ROW:
-                    row = 0
+                reads += 1
+                if reads > self.MAX_READS_IN_A_ROW:
+                    reads = 0
                     yield from host.world.pause()
         finally:
             stream.attend(None)
@@ -167,7 +170,7 @@
             if self.gap_timer is not None:
                 self.gap_timer.cancel()
         if gone:
-            host.client_departed(ask)
+            host.client_departed(request)
             return self._failure_end("cancelled", "the client has left")
         body = b"".join(tail)
         if not body.endswith(sse.DONE):
@@ -182,21 +185,24 @@
 
 
 class EngineBackend:
-    """States wait at readers on the connection that read them; places are held at writers."""
+    """KV states are held at readers, on the connections that read them; slots are reserved at writers."""
 
     host: Host
 
     def __init__(self, load_fields: tuple[str, str, str]) -> None:
+        """`load_fields`: names of a load report's fields, in the order of `interface.Report`."""
         self.load_fields = load_fields
 
-    def run_leg(self, ask: ClientRequest, leg: Leg, limit: Time) -> Coro[None]:
-        assert isinstance(ask, OpenAIRequest)
-        return EngineLeg(self, ask, leg, limit).run()
+    def run_leg(self, request: ClientRequest, leg: Leg, limit: Time) -> Coro[None]:
+        """Runs a leg; tells the host its start and its end."""
+        assert isinstance(request, OpenAIRequest)
+        return EngineLeg(self, request, leg, limit).run()
 
-    def reserve(self, ask: ClientRequest, leg: Leg, server: Server) -> Coro[bool]:
-        assert isinstance(ask, OpenAIRequest)
-        ask.reserved_server, ask.reserved_leg = server, leg
-        body = msgspec.json.encode(StateCall(self.state_id(leg), ask.gen.prompt_tok))
+    def reserve(self, request: ClientRequest, leg: Leg, server: Server) -> Coro[bool]:
+        """Reserves a slot at a writer for the KV state of a read; whether it was granted."""
+        assert isinstance(request, OpenAIRequest)
+        request.reserved_server, request.reserved_leg = server, leg
+        body = msgspec.json.encode(StateCall(self.state_id(leg), request.gen.prompt_tok))
         answer = yield from self.host.call(server, "POST", STATE_HOLD, body)
         granted = False
         if answer is not None and answer.status == 200:
@@ -204,71 +210,80 @@
                 granted = decode(b"".join(answer.pieces), type=HoldAnswer).held
             except msgspec.DecodeError:
                 pass  # not granted
-        if granted and (ask.gen.over or ask.reserved_server is not server):
-            self._release(server, self.state_id(leg))
+        if granted and (request.gen.over or request.reserved_server is not server):
+            self._release_reservation(server, self.state_id(leg))
         return granted
 
     def probe(self, server: Server) -> Coro[tuple[bool, str | None]]:
+        """Whether a server is healthy, and the text of its load report."""
         answer = yield from self.host.call(server, "GET", HEALTH, b"")
         return answer is not None and answer.status == 200, answer.headers.get(
             orca.HEADER
         ) if answer else None
 
     def parse_report(self, text: str) -> Report | None:
+        """Parses a load report. Raises ValueError."""
         fields = orca.parse(text)
         return self.host.doubts.report(*(fields.get(name) for name in self.load_fields))
 
-    def stream_started(self, ask: ClientRequest, leg: Leg, fetched: bool) -> None:
-        assert isinstance(ask, OpenAIRequest)
-        if leg.server is ask.reserved_server:
-            ask.reserved_server = None
-        self.release(ask, taken=self.source(ask) if fetched else None)
+    def stream_started(self, request: ClientRequest, leg: Leg, fetched: bool) -> None:
+        """Releases what is held for the request and not used by the stream that has started."""
+        assert isinstance(request, OpenAIRequest)
+        if leg.server is request.reserved_server:
+            request.reserved_server = None
+        self.release(request, taken=self.source(request) if fetched else None)
 
     def state_id(self, leg: Leg) -> str:
+        """The id of the KV state that a leg reads."""
         return f"{leg.gen.name}-{leg.number}"
 
-    def source(self, ask: OpenAIRequest) -> Leg | None:
-        """The read whose state a writer is to fetch: the newest that waits."""
-        return next(reversed(ask.held_states), None)
+    def source(self, request: OpenAIRequest) -> Leg | None:
+        """The read whose KV state a writer is to fetch: the newest that is held."""
+        return next(reversed(request.held_states), None)
 
-    def release_unused(self, ask: ClientRequest) -> None:
-        """Nothing: an engine's release tears a state from an attempt that waits there as well. One that is never taken ends
-        with the connection that read it, at the attempt's end."""
+    def release_unused(self, request: ClientRequest) -> None:
+        """Does nothing: an engine would release the KV state that a running leg waits for, too.
 
-    def release(self, ask: ClientRequest, taken: Leg | None = None) -> None:
-        assert isinstance(ask, OpenAIRequest)
-        for leg, waiting in list(ask.held_states.items()):
-            del ask.held_states[leg]
+        A state that is never fetched ends with the connection that read it, when the leg ends.
+        """
+
+    def release(self, request: ClientRequest, taken: Leg | None = None) -> None:
+        """Releases all that is held for the request. `taken`: the read whose KV state has been fetched."""
+        assert isinstance(request, OpenAIRequest)
+        for leg, held in list(request.held_states.items()):
+            del request.held_states[leg]
             if leg is taken:
-                waiting.pool.release(waiting.stream)
+                held.pool.release(held.stream)
             else:
                 self.host.group.spawn(
-                    self.host.tracked(self._free(waiting, self.state_id(leg))), f"free {leg.gen.name}"
+                    self.host.tracked(self._release_state(held, self.state_id(leg))), f"free {leg.gen.name}"
                 )
-        if ask.reserved_server is not None and ask.reserved_leg is not None:
-            self._release(ask.reserved_server, self.state_id(ask.reserved_leg))
-            ask.reserved_server = None
+        if request.reserved_server is not None and request.reserved_leg is not None:
+            self._release_reservation(request.reserved_server, self.state_id(request.reserved_leg))
+            request.reserved_server = None
 
-    def _free(self, waiting: HeldState, state: str) -> Coro[None]:
-        """Lets go of a state over the connection that read it; without a good answer that connection is closed."""
+    def _release_state(self, held: HeldState, state: str) -> Coro[None]:
+        """Releases KV state over the connection that read it; closes that if the engine does not confirm."""
         done = False
         try:
             with self.host.world.limit(self.host.bounds.call):
                 body = msgspec.json.encode(StateCall(state))
                 reader = yield from self.host.exchange(
-                    waiting.stream, "POST", STATE_RELEASE, waiting.server.name, body
+                    held.stream, "POST", STATE_RELEASE, held.server.name, body
                 )
                 done = reader is not None and reader.status in (200, 404)
         except (Lost, http.BadMessage):
-            pass  # the engine sees the connection end, which frees the state as well
+            pass  # the engine sees the connection close, which frees the state as well
         finally:
             self.host.metrics.releases.labels("done" if done else "closed").inc()
             if done:
-                waiting.pool.release(waiting.stream)
+                held.pool.release(held.stream)
             else:
-                waiting.pool.discard(waiting.stream)
+                held.pool.discard(held.stream)
+
+    def _release_reservation(self, server: Server, state: str) -> None:
+        """Releases the slot that a writer reserved for a KV state, in several tries."""
 
-    def _release(self, server: Server, state: str) -> None:
         def call() -> Coro[None]:
             body = msgspec.json.encode(StateCall(state))
             for _ in range(self.host.bounds.release_tries):
--- a/stackpitch/gateway/host/__init__.py
+++ b/stackpitch/gateway/host/__init__.py
@@ -1,6 +1,7 @@
-"""Carries the decision module: tells it what happens (`told`), and does what it decides (`asked`).
+"""Hosts the decision module: passes events to it (`events`) and carries out its decisions (`commands`).
 
-Knows no protocol: what differs between them is behind `front`, and legs see it as their `gateway.carrier`.
+Independent of the protocol: what differs between protocols is in the `backend`, and legs see the host as
+their `gateway.leg_host`.
 """
 
 from stackpitch.gateway.host.backend import Backend
--- a/stackpitch/gateway/host/commands.py
+++ b/stackpitch/gateway/host/commands.py
@@ -1,4 +1,4 @@
-"""What the decision module asks for, done: legs, calls, answers, words and timers."""
+"""Carries out what the decision module asks for: legs, calls, responses, gossip messages and timers."""
 
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING, Any
@@ -22,7 +22,7 @@
 
 
 class Host(EventDispatcher):
-    """`interface.Gateway` in full, and the `leg_host.LegHost` of its front's legs."""
+    """Implements `interface.Gateway` for the module, and `leg_host.LegHost` for its backend's legs."""
 
     def __init__(
         self,
@@ -33,41 +33,43 @@
         name: str,
         roster: Roster,
         bounds: Bounds,
-        front: Backend,
+        backend: Backend,
         seed: int,
         preferences: Preferences,
         arguments: Mapping[str, Any],
-        peers: GossipSettings = NO_PEERS,
+        gossip: GossipSettings = NO_PEERS,
         budget: Budget | None = None,
     ) -> None:
-        super().__init__(world, group, log, metrics, name, roster, bounds, front, budget)
-        front.host = self
+        super().__init__(world, group, log, metrics, name, roster, bounds, backend, budget)
+        backend.host = self
         self.gossip = GossipChannel(
             world,
             group,
             metrics,
             self.connections,
-            peers,
-            lambda peer, octets: self._tell(None, lambda now: self.brain.heard(now, peer, octets)),
+            gossip,
+            lambda peer, octets: self._notify(None, lambda now: self.brain.heard(now, peer, octets)),
         )
         self.tell, self.receive_gossip = self.gossip.send, self.gossip.receive
         self.extra_rule: Callable[[Generation, Server], bool] | None = None
-        self.on_subscribe: Callable[[], None] | None = None  # the module asks to hear the list
+        self.on_subscribe: Callable[[], None] | None = None  # called when the module asks for the server list
         self.brain = RuledBrain(self, seed, preferences, **arguments)  # type: ignore[abstract]
 
-    def set_extra_rule(self, may: Callable[[Generation, Server], bool]) -> None:
-        """Beside operators' rules: binds every leg, whatever rules are taken over later."""
-        self.extra_rule = may
+    def set_extra_rule(self, allows: Callable[[Generation, Server], bool]) -> None:
+        """Restricts every leg, in addition to the operators' rules and whatever rules replace them later."""
+        self.extra_rule = allows
         self.set_preferences(self.brain.preferences)
 
     def set_preferences(self, preferences: Preferences) -> None:
+        """Puts other operators' rules in force."""
         preferences.also = self.extra_rule
         self.brain.prefer(preferences)
 
     def replace_brain(self, seed: int, preferences: Preferences, arguments: Mapping[str, Any]) -> RuledBrain:
-        """Another module in force, that knows no server yet. Gives the one before, which goes on with what arrived at it.
+        """Puts a new module in force, which knows no server yet.
 
-        `preferences`: an object of its own, as each module keeps in it what it was told.
+        Returns the previous one, which goes on with the requests that arrived at it. `preferences`: a
+        separate object, as each module keeps its own state in it.
         """
         preferences.also = self.extra_rule
         before, brain = self.brain, RuledBrain(self, seed, preferences, **arguments)  # type: ignore[abstract]
@@ -77,93 +79,104 @@
         return before
 
     def send(self, gen: Generation, server: Server, limit: Time) -> Leg:
-        ask = self.requests[gen]
+        """Starts a leg."""
+        request = self.requests[gen]
         leg = Leg(gen, len(gen.legs), server, self.world.now())
         gen.legs.append(leg)
-        ask.unsent.add(leg)
-        self.trace_step(ask, Step.SEND, server.name)
-        ask.tasks[leg] = self.group.spawn(
-            self.backend.run_leg(ask, leg, limit), f"leg {gen.name}#{leg.number}"
+        request.unsent.add(leg)
+        self.trace_step(request, Step.SEND, server.name)
+        request.tasks[leg] = self.group.spawn(
+            self.backend.run_leg(request, leg, limit), f"leg {gen.name}#{leg.number}"
         )
         return leg
 
     def hold(self, gen: Generation, server: Server) -> None:
-        ask, brain = self.requests[gen], self.brain_for(gen)
+        """Reserves a slot at a server for the generation's next leg, and tells the module the answer."""
+        request, brain = self.requests[gen], self.brain_for(gen)
 
         def call() -> Coro[None]:
-            granted = yield from self.backend.reserve(ask, gen.legs[-1], server)
-            self._tell(ask, lambda now: brain.held(now, gen, server, granted))
+            granted = yield from self.backend.reserve(request, gen.legs[-1], server)
+            self._notify(request, lambda now: brain.held(now, gen, server, granted))
 
         self.group.spawn(self.tracked(call()), f"hold {gen.name}")
 
     def release(self, gen: Generation, why: ReleaseReason) -> None:
-        ask = self.requests.get(gen)
-        if ask is None:
+        """Releases what is held for a generation, except for what a running leg uses."""
+        request = self.requests.get(gen)
+        if request is None:
             return
-        self.trace_step(ask, Step.LET_GO, why)
+        self.trace_step(request, Step.LET_GO, why)
         self.metrics.releases_asked.labels(why).inc()
         if gen.out():
-            self.backend.release_unused(ask)
+            self.backend.release_unused(request)
         else:
-            self.backend.release(ask)
+            self.backend.release(request)
 
     def throttle(self, gen: Generation, retry_after: Time) -> None:
+        """Refuses a generation whose client may safely retry."""
         gen.over = True
-        ask = self.requests[gen]
-        ask.refuse(
-            429, "throttled", "too much to do; another try does no harm", again=True, retry_after=retry_after
-        )
-        self._settle(ask)
+        request = self.requests[gen]
+        request.refuse(429, "throttled", "overloaded; a retry is safe", again=True, retry_after=retry_after)
+        self._forget_if_over(request)
 
     def terminate(self, gen: Generation) -> None:
+        """Ends a generation that may have run, so that a retry may not be safe."""
         gen.over = True
-        ask = self.requests[gen]
-        if ask.begun:
-            ask.fail_stream("terminated", "given up; it may have run")
+        request = self.requests[gen]
+        if request.begun:
+            request.fail_stream("terminated", "terminated; the request may have run")
         else:
-            ask.refuse(502, "terminated", "given up; it may have run", again=False)
-        self._settle(ask)
+            request.refuse(502, "terminated", "terminated; the request may have run", again=False)
+        self._forget_if_over(request)
 
     def cancel(self, leg: Leg) -> None:
-        ask = self.requests.get(leg.gen)
-        if ask is None or (task := ask.tasks.get(leg)) is None:
+        """Cancels a running leg, unless the client receives its stream."""
+        request = self.requests.get(leg.gen)
+        if request is None or (task := request.tasks.get(leg)) is None:
             return
-        if (reason := cancel_denial(leg, AttemptState(self.world.now(), serving=ask.serving))) is not None:
+        if (
+            reason := cancel_denial(leg, AttemptState(self.world.now(), serving=request.serving))
+        ) is not None:
             self.action_denied(Act.CANCEL, reason, leg)
         else:
             task.cancel()
 
     def probe(self, server: Server) -> None:
-        brain = self.brain  # none but the one in force probes
+        """Checks a server's health for the module in force, the only one that probes."""
+        brain = self.brain
 
         def call() -> Coro[None]:
-            well, report = yield from self.backend.probe(server)
+            healthy, report = yield from self.backend.probe(server)
             self.doubts.server = server.name
-            self._tell(
+            self._notify(
                 None,
                 lambda now: brain.probed(
-                    now, server, well, self._report(LegEnd("streamed", Phase.HEAD, report=report))
+                    now, server, healthy, self._parse_report(LegEnd("streamed", Phase.HEAD, report=report))
                 ),
             )
 
         self.group.spawn(self.tracked(call()), f"probe {server.name}")
 
     def move(self, gen: Generation) -> None:
-        ask = self.requests[gen]
-        if ask.serving is not None and not gen.over:
+        """Ends a generation's stream so that its client resumes it at another server."""
+        request = self.requests[gen]
+        if request.serving is not None and not gen.over:
             gen.over = True
-            ask.fail_stream("moved", "the stream goes on elsewhere: ask again")
-            if (task := ask.tasks.get(ask.serving)) is not None:
+            request.fail_stream("moved", "the stream continues at another server; send the request again")
+            if (task := request.tasks.get(request.serving)) is not None:
                 task.cancel()
 
     def wake(self, delay: Time, call: Callable[[Time], None]) -> None:
-        self.world.at(self.world.now() + delay, lambda: self._tell(None, call))
+        """Calls the module back after `delay`."""
+        self.world.at(self.world.now() + delay, lambda: self._notify(None, call))
 
     def subscribe(self) -> None:
+        """The module asks for the server list, which comes in a later turn of the loop."""
         if self.on_subscribe is not None:
             self.world.at(self.world.now(), self.on_subscribe)
 
     def log(self, text: str) -> None:
+        """Logs a change of the module's mode. The first word names the mode."""
         mode, _, rest = text.partition(" ")
         self.metrics.modes.labels(mode).inc()
         self.logger.info("mode", mode=mode, text=rest)
--- a/stackpitch/gateway/host/events.py
+++ b/stackpitch/gateway/host/events.py
@@ -1,6 +1,7 @@
-"""What a gateway tells the decision module: lists, clients and legs as they come and go.
+"""Passes events to the decision module: server lists, clients and legs as they come and go.
 
-Nothing is decided here. If the module raises, the generation is terminated and logged: nothing taken is lost by it.
+Nothing is decided here. If the module raises, the error is logged and the generation terminated, so that
+no accepted request is lost by it.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -31,14 +32,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ArrivalSettings:
-    """The module that a generation arrived at and the bounds it arrived under, both its own until it is over."""
+    """The module and the bounds in force when a generation arrived; it keeps both until it is over."""
 
     brain: RuledBrain
     bounds: Bounds
 
 
 class EventDispatcher:
-    """The side of the host towards door, legs and lists. All tables are bounded by what is under way and by the roster."""
+    """The host's side towards the client listener, the legs and the server lists.
+
+    All its tables are bounded by the requests in progress and by the roster.
+    """
 
     brain: RuledBrain
 
@@ -51,62 +55,71 @@
         name: str,
         roster: Roster,
         bounds: Bounds,
-        front: Backend,
+        backend: Backend,
         budget: Budget | None = None,
     ) -> None:
         self.world, self.group, self.logger, self.metrics, self.name = world, group, log, metrics, name
-        self.roster, self.bounds, self.backend, self.budget = roster, bounds, front, budget
+        self.roster, self.bounds, self.backend, self.budget = roster, bounds, backend, budget
         self.connections = EngineConnections(world, log, name, roster, bounds, budget)
         self.pool, self.call = self.connections.pool, self.connections.call
         self.exchange, self.tracked = self.connections.exchange, self.connections.tracked
-        self.requests: dict[
-            Generation, ClientRequest
-        ] = {}  # emptied once a generation is over and its last leg is back
-        self.earlier_settings: dict[
-            Generation, ArrivalSettings
-        ] = {}  # of those from before a reload; emptied as `asks`
+        # Accepted requests; emptied of one that is over once its last leg has ended.
+        self.requests: dict[Generation, ClientRequest] = {}
+        # Of the requests that arrived before the last reload; emptied as `requests`.
+        self.earlier_settings: dict[Generation, ArrivalSettings] = {}
         self.doubts, self.counters, self.denials = Doubts(), Counters(), Denials()
         self.trace_limiter = Telling()
         self.relayed_bytes = 0
-        self.on_empty: Callable[[], None] | None = None
+        self.on_empty: Callable[[], None] | None = None  # called when the last request is over
 
     @property
     def pools(self) -> Mapping[Server, Pool]:
+        """The connection pools by server."""
         return self.connections.pools
 
     @property
     def pending_calls(self) -> int:
-        """Small calls under way."""
+        """Calls in progress, legs not counted."""
         return self.connections.pending_calls
 
     def arrival_settings(self, gen: Generation) -> ArrivalSettings:
+        """The module and bounds that apply to a generation."""
         return self.earlier_settings.get(gen) or ArrivalSettings(self.brain, self.bounds)
 
     def brain_for(self, gen: Generation) -> RuledBrain:
+        """The module that a generation arrived at."""
         return self.earlier_settings[gen].brain if gen in self.earlier_settings else self.brain
 
     def brains(self) -> list[RuledBrain]:
-        """The module in force, then earlier ones for which something is under way."""
-        return list(dict.fromkeys([self.brain, *(one.brain for one in self.earlier_settings.values())]))
+        """The module in force, then earlier ones that still have requests in progress."""
+        return list(
+            dict.fromkeys([self.brain, *(earlier.brain for earlier in self.earlier_settings.values())])
+        )
 
     def keep_arrival_settings(self) -> None:
-        """What is under way keeps its present module and bounds, whatever comes into force next."""
+        """Called before a reload: the requests in progress keep their present module and bounds."""
         for gen in self.requests:
             self.earlier_settings.setdefault(gen, ArrivalSettings(self.brain, self.bounds))
 
     def apply_bounds(self, bounds: Bounds) -> None:
+        """Puts other bounds in force."""
         self.bounds = bounds
         self.connections.apply_bounds(bounds)
 
     def terminate(self, gen: Generation) -> None:
+        """See `Host`."""
         raise NotImplementedError
 
     def begin(self) -> None:
+        """Starts the module."""
         self.brain.begin(self.world.now())
 
     def apply_roster(self, version: int, entries: Sequence[Entry], current: bool = True) -> None:
-        """The complete list from now on. A server that is left out and has legs out stays until they have ended.
-        `current`: not one that may be old, as the one known at the start."""
+        """Puts a complete server list in force.
+
+        A server that is left out and has running legs stays until they have ended. `current`: the list is
+        known to be up to date, unlike the one that is known at the start.
+        """
         before = {
             server: self.roster.addresses[server] for server in self.pools if server in self.roster.addresses
         }
@@ -114,212 +127,240 @@
         for server, address in before.items():
             if self.roster.addresses.get(server) != address:
                 self.connections.close(server)
-        # Those left out are marked as gone already: the module need not compare the whole list.
+        # Servers that were left out are already marked as gone: the module need not compare the lists.
         for brain in self.brains():
-            self._tell(None, partial(self._tell_list, brain, servers))
+            self._notify(None, partial(self._notify_roster, brain, servers))
         self._forget_servers()
         self.metrics.roster_version.set(version)
         self.logger.info(
             "roster",
             version=version,
             servers=len(entries),
-            draining=sum(one.state == "draining" for one in entries),
+            draining=sum(entry.state == "draining" for entry in entries),
         )
 
     @staticmethod
-    def _tell_list(brain: RuledBrain, servers: list[Server], now: Time) -> None:
+    def _notify_roster(brain: RuledBrain, servers: list[Server], now: Time) -> None:
         brain.roster(now, servers, False)
 
     def roster_load_failed(self) -> None:
         """A list could not be used; the one in force stays."""
-        self._tell(None, lambda now: self.brain.roster_failed(now))
+        self._notify(None, lambda now: self.brain.roster_failed(now))
 
     def _forget_servers(self) -> None:
-        busy = {leg.server for ask in self.requests.values() for leg in ask.gen.legs if leg.outcome is None}
-        for server in [one for one in self.roster.addresses if one.state == "gone" and one not in busy]:
+        """Forgets servers that are gone and have no running leg."""
+        busy = {
+            leg.server
+            for request in self.requests.values()
+            for leg in request.gen.legs
+            if leg.outcome is None
+        }
+        for server in [
+            listed for listed in self.roster.addresses if listed.state == "gone" and listed not in busy
+        ]:
             self.connections.close(server)
             self.roster.forget(server)
 
-    # What the door tells.
+    # Called by the client listener.
 
-    def request_arrived(self, ask: ClientRequest) -> None:
-        gen = ask.gen
-        self.requests[gen] = ask
-        self.trace_step(ask, Step.ARRIVED)
+    def request_arrived(self, request: ClientRequest) -> None:
+        """A request was accepted."""
+        gen = request.gen
+        self.requests[gen] = request
+        self.trace_step(request, Step.ARRIVED)
         self.metrics.held.set(len(self.requests))
-        ask.watchdog = self.world.at(gen.gives_up + self.bounds.watchdog, lambda: self._watched(ask))
+        request.watchdog = self.world.at(
+            gen.gives_up + self.bounds.watchdog, lambda: self._watchdog_due(request)
+        )
         brain = self.brain
-        self._tell(ask, lambda now: brain.arrived(now, gen))
+        self._notify(request, lambda now: brain.arrived(now, gen))
         if not gen.over and not gen.out() and not brain.keeps(gen):
             self.logger.error("module_kept_without_leg", generation=gen.name)
             self.terminate(gen)
 
-    def client_departed(self, ask: ClientRequest) -> None:
-        """The client has left. A stream that nobody reads ends, and so do legs that have not been handed over whole, which
-        would begin for nobody; other legs go on to their outcome. One that may only have ended its sending is owed an
-        answer."""
-        if ask.gen.over:
+    def client_departed(self, request: ClientRequest) -> None:
+        """The client has disconnected.
+
+        The leg whose stream it received is cancelled, and so are legs whose request is not completely
+        written, as they would start for nobody; other legs run on to their outcome. A client that may
+        only have half-closed its connection is owed a response.
+        """
+        if request.gen.over:
             return
-        if ask.fin_received and not ask.streaming:
-            ask.refuse_half_closed()
-        self.trace_step(ask, Step.CLIENT_LEFT)
-        ask.gen.over = True
-        ask.detach_client()
-        for leg, task in list(ask.tasks.items()):
-            if leg is ask.serving or leg in ask.unsent:
+        if request.fin_received and not request.streaming:
+            request.refuse_half_closed()
+        self.trace_step(request, Step.CLIENT_LEFT)
+        request.gen.over = True
+        request.detach_client()
+        for leg, task in list(request.tasks.items()):
+            if leg is request.serving or leg in request.unsent:
                 task.cancel()
-        brain = self.brain_for(ask.gen)
-        self._tell(ask, lambda now: brain.departed(now, ask.gen))
-        self._settle(ask)
+        brain = self.brain_for(request.gen)
+        self._notify(request, lambda now: brain.departed(now, request.gen))
+        self._forget_if_over(request)
+
+    def _watchdog_due(self, request: ClientRequest) -> None:
+        """Lets an attempt's time-out that is due in the same turn go first.
 
-    def _watched(self, ask: ClientRequest) -> None:
-        """A process that did not run finds an attempt's time-out and this watch due in one turn: the time-out goes first,
-        so that the module, which may be able to promise more, has its say."""
-        ask.watchdog = self.world.at(self.world.now() + 1, lambda: self._overdue(ask))
+        That happens if the process was not scheduled for a while. The module then decides on the
+        response, and may be able to promise more.
+        """
+        request.watchdog = self.world.at(self.world.now() + 1, lambda: self._answer_overdue(request))
 
-    def _overdue(self, ask: ClientRequest) -> None:
-        """Guards rule 1 against the module or the loop being late."""
-        if not ask.gen.over and not ask.begun:
-            self.logger.error("answered_by_host", generation=ask.gen.name, legs=len(ask.gen.legs))
-            self.terminate(ask.gen)
+    def _answer_overdue(self, request: ClientRequest) -> None:
+        """Answers in time even if the module or the loop is late."""
+        if not request.gen.over and not request.begun:
+            self.logger.error("answered_by_host", generation=request.gen.name, legs=len(request.gen.legs))
+            self.terminate(request.gen)
 
     def stop(self) -> None:
-        """What is still held is answered at once: terminated, which promises nothing."""
-        for ask in list(self.requests.values()):
-            if not ask.gen.over:
-                ask.gen.over = True
-                if ask.begun:
-                    ask.fail_stream("stopping", "the gateway stops")
+        """Answers what is still in progress at once, without saying that a retry is safe."""
+        for request in list(self.requests.values()):
+            if not request.gen.over:
+                request.gen.over = True
+                if request.begun:
+                    request.fail_stream("stopping", "the gateway is stopping")
                 else:
-                    ask.refuse(503, "stopping", "the gateway stops", again=False)
-            for task in list(ask.tasks.values()):
+                    request.refuse(503, "stopping", "the gateway is stopping", again=False)
+            for task in list(request.tasks.values()):
                 task.cancel()
-            self.backend.release(ask)
+            self.backend.release(request)
 
-    # What the legs tell.
+    # Called by the legs.
 
     def action_denied(self, act: Act, reason: Reason, leg: Leg) -> None:
-        """An act was not permitted. Where the module must not have asked for it, that is told with the request's id."""
-        if (ask := self.requests.get(leg.gen)) is not None:
-            self.trace_step(ask, Step.FORBIDDEN, f"{act} {reason} {leg.server.name}")
-        if self.denials.note(act, reason):
+        """Counts an action that was not permitted; logs an error if the module must not ask for it."""
+        if (request := self.requests.get(leg.gen)) is not None:
+            self.trace_step(request, Step.FORBIDDEN, f"{act} {reason} {leg.server.name}")
+        if self.denials.record(act, reason):
             self.logger.error(
                 "invariant_broken", act=act, reason=reason, generation=leg.gen.name, server=leg.server.name
             )
 
-    def leg_written(self, ask: ClientRequest, leg: Leg) -> None:
-        ask.unsent.discard(leg)
-        self.trace_step(ask, Step.WRITTEN, leg.server.name)
+    def leg_written(self, request: ClientRequest, leg: Leg) -> None:
+        """The last byte of the leg's request has been written."""
+        request.unsent.discard(leg)
+        self.trace_step(request, Step.WRITTEN, leg.server.name)
+
+    def leg_started(self, request: ClientRequest, leg: Leg, fetched: bool) -> bool:
+        """The leg's first token has arrived; False if it is no longer wanted.
 
-    def leg_started(self, ask: ClientRequest, leg: Leg, fetched: bool) -> bool:
-        """The first token is here; False if nobody wants it. `fetched`: the writer took the state that it was sent to."""
-        task = ask.tasks.get(leg)
+        `fetched`: the writer has fetched the KV state that it was sent to.
+        """
+        task = request.tasks.get(leg)
         cancelled = task is not None and task.struck() is not None  # in the very turn in which the token came
-        now = AttemptState(self.world.now(), cancelled=cancelled, serving=ask.serving)
+        now = AttemptState(self.world.now(), cancelled=cancelled, serving=request.serving)
         if (reason := start_denial(leg, now)) is not None:
             self.action_denied(Act.START, reason, leg)
             return False
-        leg.streaming, ask.serving = True, leg
-        self.trace_step(ask, Step.STARTED, leg.server.name)
-        ask.begin(self.world.now())
-        self.backend.stream_started(ask, leg, fetched)
+        leg.streaming, request.serving = True, leg
+        self.trace_step(request, Step.STARTED, leg.server.name)
+        request.begin(self.world.now())
+        self.backend.stream_started(request, leg, fetched)
         self.counters.started(self.world.now(), leg)
         brain = self.brain_for(leg.gen)
-        self._tell(ask, lambda now: brain.started(now, leg))
-        self.metrics.first_token.labels(ask.gen.product.name).observe(
-            (self.world.now() - ask.gen.arrived) / 10_000
+        self._notify(request, lambda now: brain.started(now, leg))
+        self.metrics.first_token.labels(request.gen.product.name).observe(
+            (self.world.now() - request.gen.arrived) / 10_000
         )
         return True
 
-    def leg_ended(self, ask: ClientRequest, leg: Leg, end: LegEnd) -> None:
-        gen = ask.gen
+    def leg_ended(self, request: ClientRequest, leg: Leg, end: LegEnd) -> None:
+        """The leg has its outcome."""
+        gen = request.gen
         leg.outcome = end.outcome
-        self.trace_step(ask, Step.ENDED, f"{leg.server.name} {end.outcome} {end.why}")
-        ask.tasks.pop(leg, None)
-        ask.unsent.discard(leg)
+        self.trace_step(request, Step.ENDED, f"{leg.server.name} {end.outcome} {end.why}")
+        request.tasks.pop(leg, None)
+        request.unsent.discard(leg)
         self.metrics.legs.labels(leg.server.role, end.outcome).inc()
         if end.outcome not in ("read", "streamed"):
-            ask.leg_errors[leg.number] = end.why
+            request.leg_errors[leg.number] = end.why
         if end.outcome == "error":
             self.logger.warning("bad_answer", server=leg.server.name, generation=gen.name, why=end.why)
-        if leg is ask.serving and not gen.over:
+        if leg is request.serving and not gen.over:
             gen.over = True
             if end.outcome == "streamed":
-                ask.finish()
+                request.finish()
             else:
-                ask.fail_stream("stream_broken", f"the stream broke: {end.why or end.outcome}")
+                request.fail_stream("stream_broken", f"the stream broke: {end.why or end.outcome}")
         self.doubts.server = leg.server.name
-        kept = self.doubts.kept(end.kept, gen.prompt_tok)
-        self.counters.leg_ended(self.world.now(), leg, kept)
+        cached_tok = self.doubts.kept(end.cached_tok, gen.prompt_tok)
+        self.counters.leg_ended(self.world.now(), leg, cached_tok)
         brain = self.brain_for(gen)
-        self._tell(ask, lambda now: brain.ended(now, leg, kept, end.no_state, self._report(end)))
+        self._notify(
+            request, lambda now: brain.ended(now, leg, cached_tok, end.no_state, self._parse_report(end))
+        )
         if (doubted := self.doubts.due(self.world.now())) is not None:
             self.logger.warning("implausible", **doubted)
         if not gen.over and not gen.out():
             self.logger.error("module_kept_without_leg", generation=gen.name, outcome=end.outcome)
             self.terminate(gen)
-        self._settle(ask)
+        self._forget_if_over(request)
         if leg.server.state == "gone":
             self._forget_servers()
 
-    def trace_step(self, ask: ClientRequest, step: Step, what: str = "") -> None:
-        ask.steps.append((self.world.now(), step, what))
+    def trace_step(self, request: ClientRequest, step: Step, what: str = "") -> None:
+        """Adds a step to the request's trace."""
+        request.steps.append((self.world.now(), step, what))
 
-    def _tell_steps(self, ask: ClientRequest) -> None:
+    def _log_trace(self, request: ClientRequest) -> None:
         now = self.world.now()
-        if not self.trace_limiter.tells(now, ask.end):
+        if not self.trace_limiter.tells(now, request.end):
             return
-        ask.steps.append((now, Step.ANSWERED, f"{ask.end} {ask.gen.given_up or ''}"))
+        request.steps.append((now, Step.ANSWERED, f"{request.end} {request.gen.given_up or ''}"))
         self.logger.info(
             "request",
-            id=ask.gen.name,
-            product=ask.gen.product.name,
-            session=ask.gen.session,
+            id=request.gen.name,
+            product=request.gen.product.name,
+            session=request.gen.session,
             left_out=self.trace_limiter.take_left_out(),
-            steps=lines(ask.gen, ask.steps),
+            steps=lines(request.gen, request.steps),
         )
 
-    def _report(self, end: LegEnd) -> Report | None:
+    def _parse_report(self, end: LegEnd) -> Report | None:
         if end.report is None:
             return None
         try:
             return self.backend.parse_report(end.report)
-        except ValueError as wrong:
+        except ValueError as error:
             self.doubts.note("load_unread")
-            self.logger.debug("bad_report", why=str(wrong))
+            self.logger.debug("bad_report", why=str(error))
             return None
 
-    def _tell(self, ask: ClientRequest | None, call: Callable[[Time], None]) -> None:
+    def _notify(self, request: ClientRequest | None, call: Callable[[Time], None]) -> None:
+        """Calls the module. What it raises is logged, and must not affect other generations."""
         try:
             call(self.world.now())
-        except Exception as wrong:  # a fault in the module must not cost other generations anything
-            self.logger.exception("module_raised", why=str(wrong), generation=ask.gen.name if ask else None)
-            if ask is not None and not ask.gen.over and not ask.gen.out():
-                self.terminate(ask.gen)
-
-    def _settle(self, ask: ClientRequest) -> None:
-        """Forgets a generation that is over with no leg out. Rule 5's last net: what still waits is let go."""
-        if ask.gen.over and not ask.gen.out() and self.requests.pop(ask.gen, None) is not None:
-            self.backend.release(ask)
-            self.earlier_settings.pop(ask.gen, None)
-            if ask.watchdog is not None:
-                ask.watchdog.cancel()
-            self.metrics.generations.labels(ask.gen.product.name, ask.end).inc()
-            self.counters.over(ask.gen, ask.end, ask.first_token)
+        except Exception as error:
+            self.logger.exception(
+                "module_raised", why=str(error), generation=request.gen.name if request else None
+            )
+            if request is not None and not request.gen.over and not request.gen.out():
+                self.terminate(request.gen)
+
+    def _forget_if_over(self, request: ClientRequest) -> None:
+        """Forgets a generation that is over with no running leg; as a safeguard, releases all it may hold."""
+        if request.gen.over and not request.gen.out() and self.requests.pop(request.gen, None) is not None:
+            self.backend.release(request)
+            self.earlier_settings.pop(request.gen, None)
+            if request.watchdog is not None:
+                request.watchdog.cancel()
+            self.metrics.generations.labels(request.gen.product.name, request.end).inc()
+            self.counters.over(request.gen, request.end, request.first_token)
             self.metrics.held.set(len(self.requests))
-            gen = ask.gen
-            self._tell_steps(ask)
+            gen = request.gen
+            self._log_trace(request)
             self.logger.log(
                 self.bounds.request_level,
                 "generation",
                 id=gen.name,
                 product=gen.product.name,
-                end=ask.end,
+                end=request.end,
                 took_ms=(self.world.now() - gen.arrived) / 10,
                 prompt_tok=gen.prompt_tok,
-                first_ms=None if ask.first_token is None else (ask.first_token - gen.arrived) / 10,
+                first_ms=None if request.first_token is None else (request.first_token - gen.arrived) / 10,
                 legs=[
-                    f"{leg.server.name} {leg.outcome} {ask.leg_errors.get(leg.number, '')}".strip()
+                    f"{leg.server.name} {leg.outcome} {request.leg_errors.get(leg.number, '')}".strip()
                     for leg in gen.legs
                 ],
             )
--- a/stackpitch/gateway/host/gossip.py
+++ b/stackpitch/gateway/host/gossip.py
@@ -1,4 +1,4 @@
-"""GossipChannel between gateways, over their admin ports."""
+"""Gossip messages between gateways, sent over their admin ports."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -12,24 +12,28 @@
 if TYPE_CHECKING:
     from stackpitch.gateway.metrics import Metrics
 
-MAX_GOSSIP_BYTES = 256  # bytes, at most
+MAX_GOSSIP_BYTES = 256  # of one message
 
 
 @dataclass(frozen=True, slots=True)
 class GossipSettings:
-    """The other gateways' admin ports by number, our own too; empty: none. `limit`: for a word, in ticks."""
+    """`admin`: all gateways' admin addresses by number, this one's too; empty: there are no peers.
+
+    `number`: this gateway's. `limit`: time limit for a message, in ticks. `max_pending`: messages on
+    their way at once.
+    """
 
     admin: Sequence[str] = ()
     number: int = 0
     limit: Time = 0
-    max_words: int = 0
+    max_pending: int = 0
 
 
 NO_PEERS = GossipSettings()
 
 
 class GossipChannel:
-    """`hears`: told what a peer said, by its number."""
+    """Sends and receives gossip messages. `on_message`: called with the sender's number and the message."""
 
     def __init__(
         self,
@@ -37,33 +41,33 @@
         group: Group,
         metrics: "Metrics",
         connections: EngineConnections,
-        peers: GossipSettings,
-        hears: Callable[[int, bytes], None],
+        settings: GossipSettings,
+        on_message: Callable[[int, bytes], None],
     ) -> None:
         self.world, self.group, self.metrics, self.connections = world, group, metrics, connections
-        self.peers, self.hears = peers, hears
-        self.under_way = 0
+        self.settings, self.on_message = settings, on_message
+        self.pending = 0
 
     def send(self, peer: int, octets: bytes) -> None:
-        """One word to another gateway. None is repeated; one that can't leave now is dropped and counted."""
-        peers = self.peers
+        """Sends a message to another gateway, once; one that can't be sent now is dropped and counted."""
+        settings = self.settings
         if (
             len(octets) > MAX_GOSSIP_BYTES
-            or not 0 <= peer < len(peers.admin)
-            or self.under_way >= peers.max_words
+            or not 0 <= peer < len(settings.admin)
+            or self.pending >= settings.max_pending
         ):
             self.metrics.words.labels("not-sent").inc()
             return
-        from urllib.parse import urlencode  # not at the start: a gateway of the platform has no use for it
+        from urllib.parse import urlencode  # imported here: the platform's gateway never needs it
 
-        host, _, port = peers.admin[peer].rpartition(":")
-        query = urlencode({"from": peers.number, "word": octets.hex()})
+        host, _, port = settings.admin[peer].rpartition(":")
+        query = urlencode({"from": settings.number, "word": octets.hex()})
 
         def call() -> Coro[None]:
             end = "lost"
             try:
-                with self.world.limit(peers.limit):
-                    stream = yield from self.world.connect((host, int(port)), peers.limit)
+                with self.world.limit(settings.limit):
+                    stream = yield from self.world.connect((host, int(port)), settings.limit)
                     try:
                         answer = yield from self.connections.exchange(
                             stream, "POST", f"/peer?{query}", host, b"", last=True
@@ -74,22 +78,25 @@
             except (Lost, ConnectFailed, http.BadMessage):
                 pass
             finally:
-                self.under_way -= 1
+                self.pending -= 1
                 self.metrics.words.labels(end).inc()
 
-        self.under_way += 1
-        self.group.spawn(call(), f"word to {peer}")
+        self.pending += 1
+        self.group.spawn(call(), f"gossip to {peer}")
+
+    def receive(self, peer: str, message: str) -> bool:
+        """Takes a message from the admin port; False if it is dropped.
 
-    def receive(self, peer: str, word: str) -> bool:
-        """A word that came in. What is unknown, oversized or malformed is dropped and counted, and False."""
+        Messages of unknown senders and oversized or malformed ones are dropped and counted.
+        """
         try:
-            number, octets = int(peer), bytes.fromhex(word)
+            number, octets = int(peer), bytes.fromhex(message)
         except ValueError:
             number, octets = -1, b""
-        others = 0 <= number < len(self.peers.admin) and number != self.peers.number
-        if not others or not octets or len(octets) > MAX_GOSSIP_BYTES:
+        known = 0 <= number < len(self.settings.admin) and number != self.settings.number
+        if not known or not octets or len(octets) > MAX_GOSSIP_BYTES:
             self.metrics.words.labels("dropped").inc()
             return False
         self.metrics.words.labels("heard").inc()
-        self.hears(number, octets)
+        self.on_message(number, octets)
         return True
--- a/stackpitch/gateway/leg.py
+++ b/stackpitch/gateway/leg.py
@@ -1,9 +1,11 @@
-"""One leg: a connection, the request, the answer passed on while it comes, and an outcome for the module."""
+"""Runs one leg: takes a connection, writes the request, forwards the response and reports an outcome."""
 
 from typing import TYPE_CHECKING
 
 from stackpitch.gateway import pacing
-from stackpitch.gateway.bounds import Bounds as Bounds  # the platform's front takes both from here
+from stackpitch.gateway.bounds import (
+    Bounds as Bounds,
+)  # re-exported for the platform's backend, like `LegEnd`
 from stackpitch.gateway.client_drain import drain_client
 from stackpitch.gateway.client_request import ClientRequest
 from stackpitch.gateway.outcomes import Failure, Phase, failure_outcome
@@ -20,50 +22,52 @@
 
 
 class NotSent(Exception):
-    """Nothing of the request has been written, and nothing is to be."""
+    """Nothing of the request has been written, and nothing will be."""
 
 
 class LegRunner:
-    """Runs one leg to its end and tells the host: once when output starts, once at the end.
+    """Runs one leg to its end and tells the host twice: when output starts, and at the end.
 
-    A front adds what it sends and how it reads the answer (`_exchange`, `_load_report`).
+    A backend's subclass defines what is written and how the response is read (`_exchange`, `_load_report`).
     """
 
-    MAX_READS_IN_A_ROW = 16  # feeds without a wait, then the others get their turn
+    MAX_READS_IN_A_ROW = 16  # without a wait; then the other tasks get a turn
 
-    def __init__(self, host: "LegHost", ask: ClientRequest, leg: Leg, limit: Time) -> None:
+    def __init__(self, host: "LegHost", request: ClientRequest, leg: Leg, limit: Time) -> None:
         self.host, self.leg = host, leg
-        # The attempt is given up then. `limit` was counted from the decision: the request's own end guards against a
-        # process that was held up between, which would still wait for the attempt when the request's time is over.
+        # `limit` counted from the module's decision. If the process was held up since, the attempt could
+        # outlast its request, so it ends no later than that.
         self.deadline = min(host.world.now() + limit, leg.gen.gives_up)
-        self.client_request = ask
-        self.phase = [Phase.QUEUED]
+        self.client_request = request
+        self.phase = [Phase.QUEUED]  # of length 1: shared with the pool, which updates it
         self.reader = http.ResponseReader(host.bounds.max_head, host.bounds.max_answer)
-        self.stream_bytes = 0  # bytes of the stream so far
+        self.stream_bytes = 0  # of the stream so far
         self.gap_timer: Timer | None = None
-        self.waiting_for_client = False  # for a slow client
+        self.waiting_for_client = False  # the stream is paused because its client reads slowly
 
     def run(self) -> Coro[None]:
+        """Runs the leg to its end, and reports it even if the task is cancelled."""
         end: LegEnd | None = None
         try:
             end = yield from self._run()
-        finally:  # also where the task is cancelled: the module always hears the end
+        finally:
             self.host.leg_ended(
                 self.client_request, self.leg, end or self._failure_end("cancelled", "cancelled")
             )
 
     def time_left(self) -> Time:
+        """Until the attempt's deadline."""
         return self.deadline - self.host.world.now()
 
     def _failure_end(self, how: Failure, why: str) -> LegEnd:
         return LegEnd(failure_outcome(self.phase[0], how), self.phase[0], why=why, report=self._load_report())
 
     def _load_report(self) -> str | None:
-        """The text of the load report that came with the answer."""
+        """The text of the load report that came with the response."""
         raise NotImplementedError
 
     def _exchange(self, stream: Stream, scope: Scope) -> Coro[LegEnd]:
-        """The request and its answer; relaxes the scope once output has started."""
+        """Writes the request and reads its response; lifts the scope's time limit once output starts."""
         raise NotImplementedError
 
     def _run(self) -> Coro[LegEnd]:
@@ -75,59 +79,62 @@
         end: LegEnd | None = None
         with world.limit(self.time_left()) as scope:
             try:
-                # The other side may have closed a kept connection as the request is written to it; nothing then tells
-                # whether it ran, and a side-effecting generation could not be sent again.
-                alone = self.leg.gen.product.effect == "side-effecting" and server.role != "reader"
-                stream = yield from pool.acquire(self.phase, fresh=alone)
+                # The server may close a reused connection just as the request is written to it. Then
+                # nothing tells whether the request ran, and a side-effecting generation could not be sent
+                # again.
+                needs_fresh = self.leg.gen.product.effect == "side-effecting" and server.role != "reader"
+                stream = yield from pool.acquire(self.phase, fresh=needs_fresh)
                 end = yield from self._exchange(stream, scope)
-            except NotSent as wrong:
-                end = LegEnd("not-sent", Phase.QUEUED, why=str(wrong))
+            except NotSent as error:
+                end = LegEnd("not-sent", Phase.QUEUED, why=str(error))
             except PoolExhausted:
                 end = self._failure_end("lost", "no connection free")
-            except LocalFault as wrong:  # the server is not to be charged with it
-                end = LegEnd("not-sent", Phase.QUEUED, why=str(wrong))
-            except ConnectFailed as wrong:
-                end = self._failure_end("lost", str(wrong))
-            except Lost as wrong:
-                end = self._failure_end("lost", str(wrong))
-            except http.BadMessage as wrong:
-                end = self._failure_end("garbled", str(wrong))
-            except (
-                Exception
-            ) as wrong:  # guards the gateway against an answer that nobody thought of: it costs its attempt
-                self.host.logger.exception("attempt_raised", server=server.name, why=str(wrong))
-                end = self._failure_end("garbled", str(wrong))
+            except LocalFault as error:  # a fault of this machine, which must not count against the server
+                end = LegEnd("not-sent", Phase.QUEUED, why=str(error))
+            except ConnectFailed as error:
+                end = self._failure_end("lost", str(error))
+            except Lost as error:
+                end = self._failure_end("lost", str(error))
+            except http.BadMessage as error:
+                end = self._failure_end("garbled", str(error))
+            except Exception as error:  # an unforeseen response must cost its attempt alone, not the gateway
+                self.host.logger.exception("attempt_raised", server=server.name, why=str(error))
+                end = self._failure_end("garbled", str(error))
             finally:
                 if stream is not None:
                     self._return_connection(pool, stream, end)
-        return end if end is not None else self._failure_end("time-out", "no word in time")
+        return end if end is not None else self._failure_end("time-out", "no response in time")
 
     def _return_connection(self, pool: Pool, stream: Stream, end: LegEnd | None) -> None:
-        """Only a connection whose answer was whole, with nothing after it, serves another leg."""
-        good = end is not None and self.reader.complete and self.reader.keep_alive and not self.reader.extra
+        """Releases the connection if its response was complete with nothing after it, or nothing was sent.
+
+        Else closes it.
+        """
+        clean = end is not None and self.reader.complete and self.reader.keep_alive and not self.reader.extra
         unused = end is not None and end.outcome == "not-sent"
-        if (good or unused) and not stream.eof:
+        if (clean or unused) and not stream.eof:
             pool.release(stream)
         else:
             pool.discard(stream)
 
-    def _send_request(self, stream: Stream, request: bytes) -> Coro[None]:
-        """Looks once more before the first byte: a connection may have been long in the making, or this loop busy.
+    def _send_request(self, stream: Stream, data: bytes) -> Coro[None]:
+        """Writes the request, after a last check that it may still be sent.
 
-        Guards against attempts for clients that have gone, and against new work for a server that was listed as
-        draining or gone while the attempt waited.
+        Connecting may have taken long, or the loop been busy: without the check, attempts would be sent
+        for clients that are gone, or to a server that was listed as draining or gone while the attempt
+        waited. Raises NotSent, Lost.
         """
-        ask, world = self.client_request, self.host.world
-        left = not self.leg.gen.over and ask.client_left()
+        request, world = self.client_request, self.host.world
+        left = not self.leg.gen.over and request.client_left()
         if left:
-            self.host.client_departed(ask)
+            self.host.client_departed(request)
         now = AttemptState(world.now(), left, world.current.struck() is not None, self.deadline)
         if (reason := send_denial(self.leg, now)) is not None:
             self.host.action_denied(Act.SEND, reason, self.leg)
             raise NotSent(reason)
         until = resend_deadline(self.leg)
         self.phase[0] = Phase.WRITING
-        stream.write(request)
+        stream.write(data)
         if stream.buffered:
             if until is None:
                 yield from stream.drain()
@@ -135,11 +142,12 @@
                 with world.limit(until - world.now()):
                     yield from stream.drain()
                 if stream.buffered:
-                    raise Lost("its servers may have forgotten an earlier leg before this one is whole")
+                    raise Lost("not written in time: the servers may have forgotten the earlier attempt")
         self.phase[0] = Phase.SENT
-        self.host.leg_written(ask, self.leg)
+        self.host.leg_written(request, self.leg)
 
     def _read_more(self, stream: Stream, most: int = 65536) -> Coro[bytes]:
+        """Reads at most so many bytes into the response reader. Raises Lost, http.BadMessage."""
         data = yield from stream.recv(most)
         if not data:
             raise Lost("closed by the engine")
@@ -147,11 +155,11 @@
         return data
 
     def _watch_gap(self, stream: Stream) -> None:
-        """Breaks off a stream that has brought nothing for `gap`, looked at four times in it."""
+        """Aborts a stream that has brought nothing for `gap`; checks four times within it."""
         world, step = self.host.world, max(1, self.host.bounds.gap // 4)
         seen = [self.stream_bytes, 0]
 
-        def look() -> None:
+        def check() -> None:
             if self.stream_bytes != seen[0] or self.waiting_for_client:
                 seen[:] = [self.stream_bytes, 0]
             else:
@@ -159,33 +167,35 @@
                 if seen[1] >= 4:
                     stream.abort()
                     return
-            self.gap_timer = world.at(world.now() + step, look)
+            self.gap_timer = world.at(world.now() + step, check)
 
-        self.gap_timer = world.at(world.now() + step, look)
+        self.gap_timer = world.at(world.now() + step, check)
 
     def _time_to_drain(self, client: Stream, left: int, events: int) -> Time | None:
-        """The time that a client has to take all but `left` bytes of what waits for it."""
+        """How long a client may take to read all but `left` bytes of what is buffered for it."""
         return pacing.drain_time_limit(
             client.buffered - left, self.stream_bytes, events, self.leg.gen.product.token_gap
         )
 
     def _wait_for_client(self, client: Stream, events: int = 0) -> Coro[bool]:
-        """Waits for a slow client to take half a buffer; False if it has left or is cut off. `events`: of its answer so far,
-        0 where they aren't counted."""
+        """Waits until a slow client has read half a buffer; False if it left or was cut off.
+
+        `events`: of the response so far, 0 if they are not counted.
+        """
         half, waits = self.host.bounds.buffer // 2, client.buffered
         self.waiting_for_client = True
         try:
-            good = yield from drain_client(
+            drained = yield from drain_client(
                 self.host.world,
                 client,
                 half,
                 self.host.bounds.stall,
                 self._time_to_drain(client, half, events),
             )
-        except Lost:  # it says nothing of the server, on whose connection nothing is wrong
+        except Lost:  # the client's connection; the server's is not at fault
             return False
         finally:
             self.waiting_for_client = False
-        if not good:
+        if not drained:
             self.host.logger.info("slow_client_cut_off", generation=self.leg.gen.name, waits=waits)
-        return good
+        return drained
--- a/stackpitch/gateway/leg_host.py
+++ b/stackpitch/gateway/leg_host.py
@@ -1,4 +1,4 @@
-"""What a leg sees of what carries the module; `host` has more, and knows no leg."""
+"""What a leg uses of its host. `host` implements it and does not know the legs' classes."""
 
 from typing import TYPE_CHECKING, Protocol
 
@@ -15,18 +15,35 @@
 
 
 class LegHost(Protocol):
+    """The host as legs see it. `relayed_bytes`: bytes of streams forwarded so far, over all legs."""
+
     world: "World"
     logger: "Log"
     name: str
     roster: "Roster"
     bounds: "Bounds"
-    relayed_bytes: int  # bytes of streams, so far
-
-    def pool(self, server: "Server") -> "Pool": ...
-    def action_denied(self, act: "Act", reason: "Reason", leg: "Leg") -> None: ...  # counts it
-    def leg_written(self, ask: "ClientRequest", leg: "Leg") -> None: ...  # its last byte has been handed over
-    def client_departed(self, ask: "ClientRequest") -> None: ...  # its client has left
-    def leg_started(
-        self, ask: "ClientRequest", leg: "Leg", fetched: bool
-    ) -> bool: ...  # False if nobody wants it
-    def leg_ended(self, ask: "ClientRequest", leg: "Leg", end: "LegEnd") -> None: ...
+    relayed_bytes: int
+
+    def pool(self, server: "Server") -> "Pool":
+        """The connections to a server."""
+        ...
+
+    def action_denied(self, act: "Act", reason: "Reason", leg: "Leg") -> None:
+        """Counts an action that was not permitted when it was due."""
+        ...
+
+    def leg_written(self, request: "ClientRequest", leg: "Leg") -> None:
+        """The last byte of the leg's request has been written."""
+        ...
+
+    def client_departed(self, request: "ClientRequest") -> None:
+        """The client has disconnected."""
+        ...
+
+    def leg_started(self, request: "ClientRequest", leg: "Leg", fetched: bool) -> bool:
+        """The leg's first token has arrived; False if it is no longer wanted."""
+        ...
+
+    def leg_ended(self, request: "ClientRequest", leg: "Leg", end: "LegEnd") -> None:
+        """The leg has its outcome."""
+        ...
--- a/stackpitch/gateway/outcomes.py
+++ b/stackpitch/gateway/outcomes.py
@@ -1,7 +1,8 @@
-"""What the real world's ends mean as outcomes of the module. Pure; `docs/design.md` states the rule.
+"""Maps how a leg ended on the wire to the decision module's outcomes, by `docs/design.md`. Pure.
 
-When in doubt a leg may have run. It provably never ran if the engine can't have got the whole request (an engine
-runs nothing before the last byte that its declared length tells), or if the engine says so by a refusal's code.
+In doubt a leg counts as having run. It provably did not run if the engine can't have received the
+complete request (an engine runs nothing before the last byte of the declared length), or if the engine
+says so with a refusal code.
 """
 
 from dataclasses import dataclass
@@ -15,11 +16,11 @@
 class Phase(IntEnum):
     """How far a leg has come."""
 
-    QUEUED = 0  # no connection is free
+    QUEUED = 0  # waits for a connection of the pool
     CONNECTING = 1
-    WRITING = 2  # some of the request has not been handed to the system yet
+    WRITING = 2  # part of the request has not been passed to the kernel yet
     SENT = 3
-    HEAD = 4  # the answer's head has come, nothing of its body
+    HEAD = 4  # the response head has arrived, nothing of its body
     STREAMING = 5
 
 
@@ -29,9 +30,9 @@
 
     outcome: Outcome
     phase: Phase
-    kept: object = 0  # tokens, as told
-    no_state: bool = False
-    report: str | None = None
+    cached_tok: object = 0  # cached tokens as reported by the engine, unchecked
+    no_state: bool = False  # there was no KV state to fetch
+    report: str | None = None  # text of the load report
     why: str = ""
 
 
@@ -39,9 +40,9 @@
 
 
 def failure_outcome(phase: Phase, how: Failure) -> Outcome:
-    """The outcome of a leg that ended without a whole answer."""
+    """The outcome of a leg that ended without a complete response."""
     if phase is Phase.QUEUED or (phase <= Phase.WRITING and how == "cancelled"):
-        return "not-sent"  # cancelled here: it says nothing of the server
+        return "not-sent"  # cancelled on this side, which says nothing about the server
     if phase <= Phase.WRITING:
         return "unreachable"
     if how == "cancelled":
@@ -51,10 +52,13 @@
     return "error" if how == "garbled" else "reset"
 
 
-def answer_outcome(part: Part, status: int, code: str | None, whole: bool) -> tuple[Outcome, bool]:
-    """Outcome, and whether there was no state to fetch. `code`: of a refusal; `whole`: a good body of its kind."""
+def answer_outcome(part: Part, status: int, code: str | None, valid: bool) -> tuple[Outcome, bool]:
+    """The outcome of a complete response, and whether there was no KV state to fetch.
+
+    `code`: of a refusal. `valid`: the body is a well-formed one for this part.
+    """
     if code is not None:
         return "full", code == NO_STATE
-    if status != 200 or not whole:
+    if status != 200 or not valid:
         return "error", False
     return ("read" if part == "read" else "streamed"), False
--- a/stackpitch/gateway/pool.py
+++ b/stackpitch/gateway/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to engines: one pool for each, bounded, with idle ones closed."""
+"""Pools of reusable connections to engines: bounded, with idle connections closed after a while."""
 
 from collections import deque
 from typing import NamedTuple
@@ -9,47 +9,54 @@
 
 
 class PoolExhausted(Exception):
-    """The pool's bound is reached and nothing came free in time."""
+    """The pool's bound is reached and no connection came free in time."""
 
 
 class ConnectionSlot(NamedTuple):
-    """Room for one connection, counted as open; or a connection that has it."""
+    """One connection within the bounds, counted as open: an idle one, or None for one yet to be opened."""
 
     stream: Stream | None
 
 
 class Budget:
-    """What all pools of a gateway may have open together. At the bound the connection idle longest is closed; what comes
-    free goes to the leg or call that has waited longest, at whatever pool.
+    """Bounds the connections that all pools of a gateway have open together.
 
-    Attempts that hang may keep all of `most`, and what was read is to be released in time nevertheless: `reserve` more are
-    for calls alone. `open_before_shrink`: what was open as `most` fell, which calls may use until a place is free.
+    At the bound, the connection that has been idle longest is closed. A slot that comes free goes to the
+    leg or call that has waited longest, at whatever pool.
+
+    Legs that hang may hold all `max_open` connections, and held KV state must be released in time
+    nevertheless: `reserve` more are for calls alone. `open_before_shrink`: how many were open when
+    `max_open` was lowered; calls may use these until a slot is free.
     """
 
-    def __init__(self, most: int, reserve: int = 0) -> None:
-        self.max_open, self.reserve, self.open = most, reserve, 0
-        self.open_before_shrink = most
-        self.idle: dict[Stream, Pool] = {}  # of all pools, longest first; emptied as theirs
+    def __init__(self, max_open: int, reserve: int = 0) -> None:
+        self.max_open, self.reserve, self.open = max_open, reserve, 0
+        self.open_before_shrink = max_open
+        self.idle: dict[Stream, Pool] = {}  # of all pools, longest idle first; emptied as the pools' own
         self.waiters: Line[ConnectionSlot] = Line()
 
-    def resize(self, most: int, reserve: int = 0) -> None:
-        """Other bounds. What is open beyond `most` closes at once where it is idle, else as it comes back."""
-        self.max_open, self.reserve = most, reserve
-        while self.open > most and self.idle:
+    def resize(self, max_open: int, reserve: int = 0) -> None:
+        """Sets other bounds. Connections beyond `max_open` close at once if idle, else on release."""
+        self.max_open, self.reserve = max_open, reserve
+        while self.open > max_open and self.idle:
             stream, pool = next(iter(self.idle.items()))
             pool.remove_idle(stream)
             pool.evict(stream)
-        self.open_before_shrink = max(most, self.open)
+        self.open_before_shrink = max(max_open, self.open)
         self.waiters.call()  # there may be more room than before
 
     def slot_freed(self) -> None:
-        """One was closed, and its place is free."""
+        """A connection was closed, and its slot is free."""
         self.open -= 1
         if self.open < self.max_open:
             self.open_before_shrink = self.max_open
         self.waiters.call()
 
     def has_room(self, call: bool) -> bool:
+        """Makes room for one more connection by closing idle ones; False if there are none.
+
+        `call`: not for a leg.
+        """
         bound = max(self.max_open + self.reserve, self.open_before_shrink) if call else self.max_open
         while self.open >= bound:
             if not self.idle:
@@ -61,58 +68,65 @@
 
 
 class Pool:
-    """Connections to one engine. `idle` holds the newest last; emptied by use, by age and when the other side ends.
+    """Connections to one engine.
 
-    A connection serves one leg or call at a time. Only one whose last answer was whole, with nothing after it,
-    comes back.
+    `idle` has the newest last; it is emptied by use, by age and when the engine closes a connection. A
+    connection carries one leg or call at a time. Only one whose last response was complete, with nothing
+    after it, is released for reuse.
     """
 
     def __init__(
         self,
         world: World,
         address: Address,
-        most: int,
+        max_open: int,
         connect: Time,
         idle: Time,
-        rest: Time = 0,
+        settle: Time = 0,
         budget: Budget | None = None,
     ) -> None:
-        self.settle, self.budget = rest, budget if budget is not None else Budget(most)
+        """`connect`, `idle`: time limits.
+
+        `settle`: how long a released connection is watched before its reuse.
+        """
+        self.settle, self.budget = settle, budget if budget is not None else Budget(max_open)
         self.world, self.address, self.max_open, self.connect, self.idle_time = (
             world,
             address,
-            most,
+            max_open,
             connect,
             idle,
         )
-        self.idle: deque[tuple[Stream, Time]] = deque()
+        self.idle: deque[tuple[Stream, Time]] = deque()  # with the time since which it is idle
         self.open = self.opened = self.reused = 0
         self.closed = False
 
     def acquire(self, phase: list[Phase], fresh: bool = False, call: bool = False) -> Coro[Stream]:
-        """A connection, kept or, if `fresh`, new; `phase[0]` follows how far it is. `call`: for a small call, not a leg.
-        Raises PoolExhausted, ConnectFailed."""
+        """A connection: an idle one if there is one and not `fresh`, else a new one.
+
+        `phase[0]` follows the progress. `call`: for a call, not for a leg. Raises PoolExhausted,
+        ConnectFailed.
+        """
         phase[0] = Phase.QUEUED
-        place = self._claim_slot(fresh, call)
-        if place is None:
+        slot = self._claim_slot(fresh, call)
+        if slot is None:
             with self.world.limit(self.connect):
-                place = yield from self.budget.waiters.wait(
+                slot = yield from self.budget.waiters.wait(
                     self.world.current, lambda: self._claim_slot(fresh, call), self._return_slot
                 )
-            if (
-                place is None
-            ):  # asked of the place, as it may be handed over in the very turn in which the time is up
+            # Not the scope's expiry: a slot may be handed over in the very turn in which the time runs out.
+            if slot is None:
                 raise PoolExhausted
-        stream = place.stream
+        stream = slot.stream
         while stream is not None:
             if not fresh and not stream.eof and self._is_quiet(stream):
                 self.reused += 1
                 return stream
-            spoilt, stream = stream, self._pop_newest() if not fresh else None
+            unusable, stream = stream, self._pop_newest() if not fresh else None
             if stream is None:
-                spoilt.close()  # its place serves the new one
+                unusable.close()  # its slot goes to the new connection
             else:
-                self.discard(spoilt)
+                self.discard(unusable)
         phase[0] = Phase.CONNECTING
         try:
             stream = yield from self.world.connect(self.address, self.connect)
@@ -131,10 +145,10 @@
         self.budget.open += 1
         return ConnectionSlot(None)
 
-    def _return_slot(self, place: ConnectionSlot) -> None:
-        """Of one that ended before it could use it."""
-        if place.stream is not None:
-            self._make_idle(place.stream)
+    def _return_slot(self, slot: ConnectionSlot) -> None:
+        """Gives back the slot of a task that ended before it could use it."""
+        if slot.stream is not None:
+            self._make_idle(slot.stream)
         else:
             self._slot_freed()
 
@@ -147,14 +161,16 @@
 
     @staticmethod
     def _is_quiet(stream: Stream) -> bool:
-        """Nothing may have come on an idle connection: garbage after a full answer, or the end."""
+        """Whether nothing has arrived on an idle connection: stray bytes after a response, or the end."""
         try:
-            return stream.recv_now(look=True) is None  # it may have come and not been told yet
+            return (
+                stream.recv_now(look=True) is None
+            )  # asks the kernel, as the loop may not have polled since
         except Lost:
             return False
 
     def release(self, stream: Stream) -> None:
-        """Takes a connection back; after a rest, in which what comes unasked for shows."""
+        """Takes a connection back for reuse, after `settle`, within which stray bytes show."""
         if self.settle and not self.closed:
             self.world.at(self.world.now() + self.settle, lambda: self._settled(stream))
         else:
@@ -167,7 +183,7 @@
             self.discard(stream)
 
     def _make_idle(self, stream: Stream) -> None:
-        if self.closed or self.budget.open > self.budget.max_open:  # the latter once the bound has fallen
+        if self.closed or self.budget.open > self.budget.max_open:  # the latter after the bound was lowered
             self.discard(stream)
             return
         self.idle.append((stream, self.world.now()))
@@ -175,17 +191,18 @@
         self.budget.waiters.call()
 
     def remove_idle(self, stream: Stream) -> None:
-        """It is idle no more."""
+        """Removes a connection from the idle ones."""
         del self.budget.idle[stream]
-        self.idle = deque(one for one in self.idle if one[0] is not stream)
+        self.idle = deque(entry for entry in self.idle if entry[0] is not stream)
 
     def evict(self, stream: Stream) -> None:
-        """Its place goes to whoever asked for this."""
+        """Closes a connection without waking a waiter: the slot belongs to the caller."""
         stream.close()
         self.open -= 1
         self.budget.open -= 1
 
     def discard(self, stream: Stream) -> None:
+        """Closes a connection and frees its slot."""
         stream.close()
         self._slot_freed()
 
@@ -194,18 +211,19 @@
         self.budget.slot_freed()
 
     def sweep(self) -> None:
-        """Closes what has been idle for too long or was ended by the other side."""
+        """Closes connections that were idle for too long or that the engine has closed."""
         before = self.world.now() - self.idle_time
-        for stream in [one for one, since in self.idle if since < before or one.eof]:
-            if stream in self.budget.idle:  # it may have made way for another meanwhile
+        for stream in [idle for idle, since in self.idle if since < before or idle.eof]:
+            if stream in self.budget.idle:  # it may have been evicted meanwhile
                 self.remove_idle(stream)
                 self.discard(stream)
 
-    def apply_bounds(self, most: int, connect: Time, idle: Time, rest: Time) -> None:
-        """Other bounds from the next use on; connections that are open stay."""
-        self.max_open, self.connect, self.idle_time, self.settle = most, connect, idle, rest
+    def apply_bounds(self, max_open: int, connect: Time, idle: Time, settle: Time) -> None:
+        """Puts other bounds in force from the next use on; open connections stay."""
+        self.max_open, self.connect, self.idle_time, self.settle = max_open, connect, idle, settle
 
     def close(self) -> None:
+        """Closes the idle connections; the others close as they are released."""
         self.closed = True
         while (stream := self._pop_newest()) is not None:
             self.discard(stream)
--- a/stackpitch/gateway/request_receiving.py
+++ b/stackpitch/gateway/request_receiving.py
@@ -1,4 +1,4 @@
-"""Reads requests from clients' connections, bounded in time and size."""
+"""Reads requests from client connections, bounded in time and size."""
 
 from typing import TYPE_CHECKING
 
@@ -14,7 +14,10 @@
 
 
 class RequestReceiver(ConnectionCloser):
-    """A door's part that reads. `bodies`: bytes of bodies that are held now, over all connections."""
+    """The part of the client listener that reads requests.
+
+    `body_bytes`: size of the request bodies held now, over all connections.
+    """
 
     def __init__(
         self,
@@ -30,8 +33,12 @@
         idle: Time,
         fresh: Time | None,
     ) -> None:
-        """Sizes in bytes. `head`, `body`: time for each part; `idle`: for the next request on a kept connection; `fresh`:
-        for the first byte on a new one, None: as `idle`."""
+        """Sizes are in bytes; `max_bodies` bounds all bodies together.
+
+        `head`, `body`: time limit for each part of a request. `idle`: for the next request on a reused
+        connection. `fresh`: for the first byte on a new one, None: as `idle`. `stall`: for a client that
+        stops reading.
+        """
         super().__init__(world, host, metrics, max_body, stall)
         self.max_bodies, self.max_head = max_bodies, max_head
         self.head, self.body, self.idle = head, body, idle
@@ -39,30 +46,36 @@
         self.body_bytes = 0
 
     def _reason_without_request(self, stream: Stream) -> Closing:
+        """Why a connection ends on which no further request came."""
         if stream in self.lingering:
             return Closing.MADE_ROOM
         return Closing.CLIENT_ENDED if stream.eof else Closing.IDLE
 
-    def _read_first(self, stream: Stream, kept: bool) -> Coro[bytes]:
-        with self.world.limit(self.idle if kept else self.fresh) as scope:
-            rest = self.idle_connections[stream] = IdleConnection(kept, scope)
+    def _read_first(self, stream: Stream, reused: bool) -> Coro[bytes]:
+        """The first bytes of the next request; empty if none came in time or the connection ends."""
+        with self.world.limit(self.idle if reused else self.fresh) as scope:
+            idle = self.idle_connections[stream] = IdleConnection(reused, scope)
             try:
-                rest.first += yield from stream.recv()  # to what was seen as it was to end
+                idle.first += yield from stream.recv()  # after what `_end_idle` found, if it ran
             finally:
                 self.idle_connections.pop(stream, None)
         if stream in self.lingering:
-            return b""  # half-closed in the same turn: nothing can be answered any more
-        if scope.expired and not scope.told and not rest.first:
-            rest.first = stream.recv_now(look=True) or b""  # it may have come in the very moment
-        return rest.first
+            return b""  # half-closed in the same turn of the loop: nothing can be answered any more
+        if scope.expired and not scope.told and not idle.first:
+            idle.first = stream.recv_now(look=True) or b""  # bytes may have arrived as the time ran out
+        return idle.first
 
     def _read_rest(self, stream: Stream, reader: http.RequestReader, held: int) -> Coro[int]:
-        """Reads until the request is whole or the client has left; bytes of body that now count as held."""
+        """Reads until the request is complete or the client has left.
+
+        Returns the body bytes that now count as held. Raises http.BadMessage if it takes too long or too
+        much is held.
+        """
         continued = False
         try:
-            for limit, what in ((self.head, "head"), (self.body, "body")):
+            for limit, part in ((self.head, "head"), (self.body, "body")):
                 with self.world.limit(limit) as scope:
-                    while not (reader.complete or (what == "head" and reader.head_done)):
+                    while not (reader.complete or (part == "head" and reader.head_done)):
                         if (
                             reader.head_done
                             and not continued
@@ -77,9 +90,9 @@
                         self.body_bytes += reader.body_size - held
                         held = reader.body_size
                         if self.body_bytes > self.max_bodies:
-                            raise http.BadMessage(503, "too much is held here; try again")
-                if scope.expired and not (reader.complete or (what == "head" and reader.head_done)):
-                    raise http.BadMessage(408, f"{what} was not whole after {limit // 10} ms")
+                            raise http.BadMessage(503, "too many request bytes are held; try again")
+                if scope.expired and not (reader.complete or (part == "head" and reader.head_done)):
+                    raise http.BadMessage(408, f"{part} was not complete after {limit // 10} ms")
                 self.body_bytes += reader.body_size - held
                 held = reader.body_size
         except BaseException:
--- a/stackpitch/gateway/resend_window.py
+++ b/stackpitch/gateway/resend_window.py
@@ -1,8 +1,8 @@
-"""Until when a repeat may still be handed over. Pure.
+"""Until when a retry of deduplicated work may still be written. Pure.
 
-The module decides to send while the window is open; a connection in the making, a full pool or a slow server can take
-the last byte beyond it, and a group that has forgotten the first attempt would run the second. So whoever writes asks
-again.
+The decision module sends a retry while the servers still remember the first attempt. Until the last byte
+is written, a connection that is being opened, a full pool or a slow server may take longer than that, and
+servers that have forgotten the first attempt would run the second. So the code that writes checks again.
 """
 
 from stackpitch.brain.guard import remembered_until
@@ -10,8 +10,10 @@
 
 
 def resend_deadline(leg: Leg) -> Time | None:
-    """The time by which a leg's last byte must have been handed over; None: any. Its other legs are asked, and the window is
-    the one by which the module decides to send."""
+    """The time by which the last byte of a leg's request must have been written; None: no such limit.
+
+    It follows from the generation's other legs, and is the one by which the decision module decides to send.
+    """
     product = leg.gen.product
     others = [one.sent for one in leg.gen.ran() if one is not leg]
     return remembered_until(min(others), product) if others and product.effect == "deduplicated" else None
--- a/stackpitch/gateway/start_times.py
+++ b/stackpitch/gateway/start_times.py
@@ -1,43 +1,51 @@
-"""When members started, whatever the machines' wall clocks say. Pure but for the look at this machine's clocks."""
+"""When servers started, whatever the machines' wall clocks say.
+
+Pure, except that it reads this machine's clocks.
+"""
 
 from collections.abc import Container
 from dataclasses import dataclass
 
 from stackpitch.loop import SECOND, Time, World
 
-FORGET_AFTER = 60 * SECOND  # a member that comes back unchanged within this has not restarted
+FORGET_AFTER = 60 * SECOND  # a server that returns within this with the same start has not restarted
 
 
 @dataclass(slots=True)
 class StartTime:
-    """A member's latest start by this process's clock: as the list claims it, no later than now, and when it was told of;
-    None: it was there when this process came."""
+    """A server's latest start by this process's clock.
+
+    `claimed`: as the list says, but no later than now. `learned`: when this process learned of it; None:
+    the server was there before this process.
+    """
 
     claimed_unix_ms: int
     claimed: Time
     learned: Time | None
-    left: Time | None = None  # since when no list has named it
+    left: Time | None = None  # since when no list has named the server
 
 
 class StartTimes:
-    """When members started, by this process's monotonic clock.
+    """When servers started, by this process's monotonic clock.
 
-    Lists tell starts in wall time, and any machine's wall clock may be wrong or be stepped. Of a member, or a
-    restart, that is told of after a current list had been taken, one more thing is known: there was none before
-    that, but for the time that news takes. The module weighs the claim against it (`brain.slow_start`). What was
-    there when this process came is taken at its word.
+    Lists give starts in wall time, and any machine's wall clock may be wrong or be stepped. Of a server,
+    or a restart, that is learned of after an up-to-date list, one more thing is known: it did not exist
+    before that list, but for the time that news takes. The module weighs the claim against it
+    (`brain.slow_start`). The claims of servers that were there before this process are believed.
 
-    Emptied of a member `FORGET_AFTER` after the last list that named it.
+    `by_name` is emptied of a server `FORGET_AFTER` after the last list that named it.
     """
 
     def __init__(self, world: World) -> None:
         self.world = world
-        self.epoch = world.wall_ms() * 10 - world.now()  # steps of the clock from now on change nothing
-        self.current = False  # a list has been taken that was current then
+        self.epoch = (
+            world.wall_ms() * 10 - world.now()
+        )  # read once, so that clock steps from now on have no effect
+        self.current = False  # a list has been applied that was up to date
         self.by_name: dict[str, StartTime] = {}
 
     def record(self, name: str, claimed_unix_ms: int | None) -> StartTime | None:
-        """None: long ago."""
+        """Records what a list says of a server's start; None: long ago."""
         if claimed_unix_ms is None:
             self.by_name.pop(name, None)
             return None
@@ -45,15 +53,15 @@
         if known is not None and known.claimed_unix_ms == claimed_unix_ms:
             return known
         claimed = min(now, claimed_unix_ms * 10 - self.epoch)
-        found = self.by_name[name] = StartTime(claimed_unix_ms, claimed, now if self.current else None)
-        return found
+        start = self.by_name[name] = StartTime(claimed_unix_ms, claimed, now if self.current else None)
+        return start
 
     def confirm_current(self) -> None:
-        """The list in force is current: whoever is told of from now on is new."""
+        """The list in force is up to date: servers that are learned of from now on are new."""
         self.current = True
 
     def retain(self, named: Container[str]) -> None:
-        """The list names these alone; forgets those that left long ago."""
+        """The list names only these servers; forgets those that left long ago."""
         now = self.world.now()
         for name, start in list(self.by_name.items()):
             if name in named:
--- a/stackpitch/gateway/vocabulary_filter.py
+++ b/stackpitch/gateway/vocabulary_filter.py
@@ -1,7 +1,8 @@
-"""Which servers a generation may go to where they run on several vocabularies. Narrows as an operators' rule does.
+"""An extra rule on which servers a generation may go to, for servers with several vocabularies.
 
-Token ids go only to servers whose vocabulary they are written or translated for; a state only to writers of its reader's
-vocabulary. An engine that meanwhile runs on another one refuses such a leg before it runs (`x-vocabulary`).
+Token ids go only to servers whose vocabulary they are written in or translated to, and KV state only to
+writers with the vocabulary of its reader. An engine that has changed its vocabulary meanwhile refuses
+such a leg before it runs (`x-vocabulary`).
 """
 
 from collections.abc import Mapping
@@ -12,37 +13,42 @@
 
 
 class VocabularyFilter:
-    """`asks` are the host's. `written`: the vocabularies of the list's ready writers, anew with each list."""
+    """`requests`: the host's.
 
-    def __init__(self, roster: Roster, asks: Mapping[Generation, ClientRequest]) -> None:
-        self.roster, self.requests = roster, asks
+    `writer_vocabularies`: those of the ready writers, with the list that they are from.
+    """
+
+    def __init__(self, roster: Roster, requests: Mapping[Generation, ClientRequest]) -> None:
+        self.roster, self.requests = roster, requests
         self.writer_vocabularies: tuple[int, frozenset[str]] = (-1, frozenset())
 
     def _listed_writers(self) -> frozenset[str]:
+        """The vocabularies of the ready writers of the list in force."""
         if self.writer_vocabularies[0] != self.roster.applied:
-            known = self.roster.vocabularies
+            vocabularies = self.roster.vocabularies
             self.writer_vocabularies = (
                 self.roster.applied,
                 frozenset(
-                    known.get(one, "")
-                    for one in self.roster.servers.values()
-                    if one.role != "reader" and one.state == "ready"
+                    vocabularies.get(server, "")
+                    for server in self.roster.servers.values()
+                    if server.role != "reader" and server.state == "ready"
                 ),
             )
         return self.writer_vocabularies[1]
 
     def allows(self, gen: Generation, server: Server) -> bool:
-        known = self.roster.vocabularies
-        vocabulary, ask = known.get(server, ""), self.requests.get(gen)
+        """Whether the generation's next leg may go to this server."""
+        vocabularies = self.roster.vocabularies
+        vocabulary, request = vocabularies.get(server, ""), self.requests.get(gen)
         if (
-            isinstance(ask, OpenAIRequest)
-            and ask.token_fields is not None
-            and vocabulary not in ask.token_fields
+            isinstance(request, OpenAIRequest)
+            and request.token_fields is not None
+            and vocabulary not in request.token_fields
         ):
             return False
         if server.role == "reader":
             return vocabulary in self._listed_writers()
-        read = next(
+        reader = next(
             (
                 leg.server
                 for leg in reversed(gen.legs)
@@ -50,4 +56,4 @@
             ),
             None,
         )
-        return read is None or known.get(read, "") == vocabulary
+        return reader is None or vocabularies.get(reader, "") == vocabulary
--- a/stackpitch/rehearse/broken/gateways.py
+++ b/stackpitch/rehearse/broken/gateways.py
@@ -59,9 +59,9 @@
 def pinned() -> None:
     """Nothing is let go: connections of states that were not taken stay open."""
 
-    def keep(self: EngineBackend, ask: ClientRequest, taken: Leg | None = None) -> None:
-        assert isinstance(ask, OpenAIRequest)
-        KEPT.extend(ask.held_states.pop(leg) for leg in list(ask.held_states) if leg is not taken)
+    def keep(self: EngineBackend, request: ClientRequest, taken: Leg | None = None) -> None:
+        assert isinstance(request, OpenAIRequest)
+        KEPT.extend(request.held_states.pop(leg) for leg in list(request.held_states) if leg is not taken)
 
     EngineBackend.release = keep  # type: ignore[method-assign]
 
--- a/tests/test_attempt_writes.py
+++ b/tests/test_attempt_writes.py
@@ -1,4 +1,4 @@
-"""What an attempt looks at before the first byte of its request, on sockets of this machine."""
+"""What an attempt checks before it writes the first byte of its request, on real sockets."""
 
 import socket
 import time
@@ -19,7 +19,7 @@
 
 
 class WritingAttempt(LegRunner):
-    """Writes its request and takes that for the whole exchange."""
+    """Only writes its request, and counts as streamed then."""
 
     def _load_report(self) -> str | None:
         return None
@@ -30,18 +30,20 @@
 
 
 class RaisingAttempt(WritingAttempt):
-    """Meets an answer that nobody thought of."""
+    """Raises an unforeseen error after its request."""
 
     def _exchange(self, stream: Stream, scope: Scope) -> Coro[LegEnd]:
         yield from self._send_request(stream, b"request")
         raise KeyError("odd")
 
 
-def attempted(
+def run_attempt(
     meanwhile: Callable[[Task], None], kind: type[WritingAttempt] = WritingAttempt
 ) -> tuple[str, bytes]:
-    """The outcome of an attempt, and what its server got; `meanwhile` happens while its connection comes about, seen by the
-    loop in the same turn as the connection."""
+    """The outcome of an attempt, and the bytes that its server received.
+
+    `meanwhile` is called while the attempt connects, so that the loop sees both in the same turn.
+    """
     world, ends = RealWorld(), list[LegEnd]()
     listener = socket.create_server(("127.0.0.1", 0))
     address = listener.getsockname()
@@ -54,17 +56,17 @@
         roster=SimpleNamespace(addresses={server: address}),
         pool=lambda _: pool,
         bounds=SimpleNamespace(max_head=1000, max_answer=1000),
-        leg_ended=lambda ask, leg, end: ends.append(end),
+        leg_ended=lambda request, leg, end: ends.append(end),
         action_denied=lambda act, reason, leg: None,
-        leg_written=lambda ask, leg: ask.unsent.discard(leg),
+        leg_written=lambda request, leg: request.unsent.discard(leg),
         logger=SimpleNamespace(exception=lambda event, **fields: None),
     )
-    ask: Any = SimpleNamespace(client_left=lambda: False, unsent=set())
+    client_request: Any = SimpleNamespace(client_left=lambda: False, unsent=set())
 
     def body(group: Group) -> Coro[None]:
-        attempt = kind(host, ask, Leg(request, 0, server, world.now()), LIMIT)
+        attempt = kind(host, client_request, Leg(request, 0, server, world.now()), LIMIT)
         task = group.spawn(attempt.run(), "attempt")
-        yield from world.pause()  # it connects now
+        yield from world.pause()  # it starts to connect
         meanwhile(task)
         while not ends:
             yield from world.sleep(MS)
@@ -74,14 +76,14 @@
     world.epoll.close()
     accepted, _ = listener.accept()
     accepted.settimeout(5)
-    got = accepted.recv(100)
-    for one in (accepted, listener):
-        one.close()
-    return ends[0].outcome, got
+    received = accepted.recv(100)
+    for sock in (accepted, listener):
+        sock.close()
+    return ends[0].outcome, received
 
 
 @pytest.mark.parametrize(
-    "meanwhile, outcome, got",
+    "meanwhile, outcome, received",
     [
         (lambda task: None, "streamed", b"request"),
         (lambda task: time.sleep(3 * LIMIT / SECOND), "not-sent", b""),
@@ -89,12 +91,12 @@
     ],
     ids=["nothing happens", "its time is up", "it is cancelled"],
 )
-def test_an_attempt_that_is_over_as_its_connection_comes_about_is_not_sent(
-    meanwhile: Callable[[Task], None], outcome: str, got: bytes
+def test_an_attempt_that_is_over_as_it_connects_is_not_sent(
+    meanwhile: Callable[[Task], None], outcome: str, received: bytes
 ) -> None:
-    assert attempted(meanwhile) == (outcome, got)
+    assert run_attempt(meanwhile) == (outcome, received)
 
 
 def test_what_an_attempt_raises_ends_that_attempt_alone() -> None:
-    """It may have run; the error doesn't reach the group, which would end the gateway."""
-    assert attempted(lambda task: None, RaisingAttempt) == ("error", b"request")
+    """The error must not reach the task group, which would end the gateway. The attempt may have run."""
+    assert run_attempt(lambda task: None, RaisingAttempt) == ("error", b"request")
--- a/tests/test_permission.py
+++ b/tests/test_permission.py
@@ -1,4 +1,4 @@
-"""What is permitted at the instant of acting, by each fact alone; and what is told of a request."""
+"""Which actions are denied by which fact, and which requests the trace log shows."""
 
 from dataclasses import replace
 
@@ -24,7 +24,10 @@
 
 
 def attempt(effect: Effect = "idempotent", earlier: Outcome | None = "error", ago: int = 0) -> Leg:
-    """A second one; the first, at a decode worker, ended so."""
+    """A request's second attempt.
+
+    `earlier`: the outcome of the first, at a decode worker. `ago`: since both were sent.
+    """
     product = Product("a", effect, "all", 4000, 10_000, 0, 600, 40_000, 1, 0)
     request = Generation("a", product, None, None, None, 0, 10, 10, None, 0, 20 * SECOND, False, False)
     for number in range(2):
@@ -54,12 +57,12 @@
 
 
 def test_connections_and_releases() -> None:
-    """No connection ends under a request that came or was taken, unless that is answered or its client has left."""
-    assert end_denial(ConnectionState()) is end_denial(ConnectionState(taken=True, answered=True)) is None
-    assert end_denial(ConnectionState(taken=True, client_left=True)) is None
+    """No connection ends with an unread request, or an accepted one that is neither answered nor departed."""
+    assert end_denial(ConnectionState()) is end_denial(ConnectionState(accepted=True, answered=True)) is None
+    assert end_denial(ConnectionState(accepted=True, client_left=True)) is None
     assert end_denial(ConnectionState(unread=True)) is Reason.REQUEST_CAME
-    assert end_denial(ConnectionState(taken=True)) is Reason.UNANSWERED
-    assert Denials().note(Act.END, Reason.UNANSWERED) and not Denials().note(Act.END, Reason.REQUEST_CAME)
+    assert end_denial(ConnectionState(accepted=True)) is Reason.UNANSWERED
+    assert Denials().record(Act.END, Reason.UNANSWERED) and not Denials().record(Act.END, Reason.REQUEST_CAME)
     assert release_denial(True) is None and release_denial(False) is Reason.NOTHING_HELD
 
 
@@ -73,14 +76,14 @@
 
 
 @pytest.mark.parametrize("reason", Reason)
-def test_counts_begin_anew_once_told(reason: Reason) -> None:
-    refusals = Denials()
-    broken = [refusals.note(Act.SEND, reason) for _ in range(2)]
+def test_taking_the_counts_resets_them(reason: Reason) -> None:
+    denials = Denials()
+    broken = [denials.record(Act.SEND, reason) for _ in range(2)]
     assert broken == [reason in (Reason.ANOTHER_OUT, Reason.MAY_HAVE_RUN, Reason.UNANSWERED)] * 2
-    assert refusals.take() == {f"send {reason}": 2} and not refusals.take()
+    assert denials.take() == {f"send {reason}": 2} and not denials.take()
 
 
-def test_requests_that_were_not_served_are_told_so_many_a_second() -> None:
+def test_traces_of_unserved_requests_are_rate_limited() -> None:
     telling = Telling()
     assert not telling.tells(0, "streamed")
     assert [telling.tells(5 * SECOND, "throttled") for _ in range(MOST_TOLD + 3)] == [True] * MOST_TOLD + [
