--- a/tests/stage.py
+++ b/tests/stage.py
@@ -1,29 +1,30 @@
-"""A gateway on loopback sockets between scripted engines and clients, played from small texts.
+"""Runs a gateway on loopback sockets between scripted engines and clients, driven by lines of text.
 
 fleet r1 w1 w2                  scripted engines; the letter tells the role
 settings door.buffer=65536      settings of the gateway, before anything else
-engine w1 reset ok              what it does with its next legs, the last for all that follow; see ACTS
-ask a order limit=900           a client asks; chat, order or note; tok=N words wanted, whole=1 without a stream
-then a                          asks again on the same connection once the last answer was whole
+engine w1 reset ok              what it does with its next legs, the last for all that follow; see `answer`
+ask a order limit=900           a client sends a request; chat, order or note; tok=N output tokens, whole=1
+                                not streamed
+then a                          another request on the same connection once the last response is complete
 wait 100                        ms
-module cancel a | move a | hold a w1 | probe w1     what the module may ask for, asked for here
-stop                            what is held is answered at once
-begin-again                     a new gateway starts with the kept list, as the fleet's file is broken
+module cancel a | move a | hold a w1 | probe w1     a command of the decision module, issued here
+stop                            the requests in progress are answered at once
+begin-again                     a new gateway starts from the persisted list, as the fleet's file is broken
 leave a | stop-reading a | read-on a
-list w1 gone | draining | ready | started=MS_AGO      the fleet's file changes and is read anew
-file {not json                  the fleet's file gets this text and is read anew
+list w1 gone | draining | ready | started=MS_AGO      the fleet's file changes and is reloaded
+file {not json                  the fleet's file gets this text and is reloaded
 raw a GET /nowhere HTTP/1.1\\r\\n\\r\\n      bytes on a connection of their own
-> a terminated                  how the ask ended: streamed, throttled, terminated, broken, or STATUS CODE
+> a terminated                  how the request ended: streamed, throttled, terminated, broken, or STATUS CODE
 > legs a r1 w1                  which engines got a leg of it, in order
-> words a 5                     how many tokens the client got
+> words a 5                     how many tokens the client received
 > held r1 1                     how many states r1 has ever held
-> freed r1 400                  no state waits at r1 within so many ms
-> nothing-after a               no byte came after its final answer
-> buffered 300000               bytes that wait for clients, at most
+> freed r1 400                  r1 holds no state any more within so many ms
+> nothing-after a               no byte came after its final response
+> buffered 300000               bytes that are buffered for clients, at most
 peer silent | knows w2 | unknown        a second gateway, the home of s0 and s1: before anything else
-word 1 a1b2 times=1             a word from gateway 1 comes in at the admin port; in hex, so often over
-> words-dropped 2 | words-lost 1        words that were not used, or did not arrive
-> asked 1                       how often the peer was asked for an owner
+word 1 a1b2 times=1             a gossip message from gateway 1 arrives at the admin port, repeated; in hex
+> words-dropped 2 | words-lost 1        messages that were not used, or did not arrive
+> asked 1                       how often the peer was asked for an affinity entry
 > roster 1 | servers r1 w1      version in force; servers in the list
 > idle                          no generation, call or client's task is left
 """
@@ -68,7 +69,10 @@
 
 
 class ScriptedEngine:
-    """Does with each leg what it was told. `legs` are the request ids that it got."""
+    """Does with each leg what `acts` say.
+
+    `legs`: the request ids that it received. `states`: those that it holds now.
+    """
 
     def __init__(self, stage: "Stage", name: str) -> None:
         self.stage, self.name, self.acts = stage, name, ["ok"]
@@ -87,7 +91,7 @@
             group.spawn(self.connection(stream), self.name)
 
     def connection(self, stream: Stream) -> Coro[None]:
-        ours: set[str] = set()
+        connection_states: set[str] = set()
         try:
             while True:
                 reader = http.RequestReader(65536, 1 << 24)
@@ -96,15 +100,15 @@
                     if not data:
                         return
                     reader.feed(data)
-                if not (yield from self.answer(stream, reader, ours)):
+                if not (yield from self.answer(stream, reader, connection_states)):
                     return
         except (Lost, http.BadMessage):
             pass
         finally:
-            self.states -= ours
+            self.states -= connection_states
             stream.close()
 
-    def answer(self, stream: Stream, reader: http.RequestReader, ours: set[str]) -> Coro[bool]:
+    def answer(self, stream: Stream, reader: http.RequestReader, connection_states: set[str]) -> Coro[bool]:
         tree = msgspec.json.decode(reader.body()) if reader.body() else {}
         if reader.path == engine.HEALTH:
             self.probes += 1
@@ -122,8 +126,8 @@
         self.legs.append(reader.headers["x-request-id"])
         act, _, number = (self.acts.pop(0) if len(self.acts) > 1 else self.acts[0]).partition(":")
         if transfer.get("do_remote_prefill"):
-            for one in self.stage.engines.values():
-                one.states.discard(transfer["state_id"])
+            for other in self.stage.engines.values():
+                other.states.discard(transfer["state_id"])
         if act == "late":
             yield from self.stage.world.sleep(int(number) * MS)
             act = "ok"
@@ -144,7 +148,7 @@
         if transfer.get("do_remote_decode"):
             self.states.add(transfer["state_id"])
             self.held += 1
-            ours.add(transfer["state_id"])
+            connection_states.add(transfer["state_id"])
             stream.write(
                 http.response(
                     200,
@@ -211,7 +215,7 @@
 
 
 class Client:
-    """One scripted client and what it got."""
+    """A scripted client and what it received."""
 
     def __init__(self, stream: Stream) -> None:
         self.stream, self.reading = stream, True
@@ -222,14 +226,14 @@
 
 
 class Stage:
-    """Plays one text."""
+    """Runs the lines of one scenario. `overrides`: settings that differ from `SETTINGS`."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.world = folder, RealWorld(7)
         self.engines: dict[str, ScriptedEngine] = {}
         self.clients: dict[str, Client] = {}
         self.states: dict[str, dict[str, Any]] = {}
-        self.version, self.over = 1, {}
+        self.version, self.overrides = 1, {}
         self.gateway: Any = None
 
     def play(self, lines: list[str]) -> None:
@@ -238,8 +242,8 @@
             for number, line in enumerate(lines, 1):
                 try:
                     yield from self.line(line)
-                except AssertionError as wrong:
-                    raise AssertionError(f"line {number}, {line!r}: {wrong}") from None
+                except AssertionError as error:
+                    raise AssertionError(f"line {number}, {line!r}: {error}") from None
             group.cancel()
 
         def main() -> Coro[None]:
@@ -268,25 +272,27 @@
                 yield from result
 
     def do_peer(self, how: str, server: str = "") -> None:
-        """Both gateways' admin ports; what the second does when it is asked."""
+        """Opens both gateways' admin ports. `how`: what the second does when it is asked for an entry."""
         self.admin, self.peer = self.world.listen(("127.0.0.1", 0)), self.world.listen(("127.0.0.1", 0))
-        self.over["peers"] = {"admin": [f"127.0.0.1:{one.address[1]}" for one in (self.admin, self.peer)]}
-        self.over["module"] = {"gateways": 2, "max_legs": 4}
+        self.overrides["peers"] = {
+            "admin": [f"127.0.0.1:{one.address[1]}" for one in (self.admin, self.peer)]
+        }
+        self.overrides["module"] = {"gateways": 2, "max_legs": 4}
         self.asked = 0
 
-        def heard(asked: Any) -> Coro[tuple[int, bytes]]:
+        def receive(query: Any) -> Coro[tuple[int, bytes]]:
             yield from ()
-            word = bytes.fromhex(asked["word"])
-            if word[:1] == Home.ASK and how != "silent":
+            message = bytes.fromhex(query["word"])
+            if message[:1] == Home.ASK and how != "silent":
                 self.asked += 1
                 entry = Home.ENTRY.pack(crc32(server.encode()), 10, 0) if server else b""
                 kind = Home.KNOWN if server else Home.UNKNOWN
-                self.group.spawn(self.do_word("1", (kind + word[1:9] + entry).hex()), "answer")
+                self.group.spawn(self.do_word("1", (kind + message[1:9] + entry).hex()), "answer")
             return 200, b"{}"
 
         if how != "silent":
             self.group.spawn(
-                Admin(self.world, {("POST", "/peer"): heard}).serve(self.group, self.peer), "peer"
+                Admin(self.world, {("POST", "/peer"): receive}).serve(self.group, self.peer), "peer"
             )
 
     def do_word(self, number: str, word: str, times: str = "1") -> Coro[None]:
@@ -299,33 +305,33 @@
         assert self.asked == int(count), f"asked {self.asked} times"
 
     def expect_words_dropped(self, count: str) -> None:
-        self.counted("dropped", count)
+        self.check_gossip_count("dropped", count)
 
     def expect_words_lost(self, count: str) -> Coro[None]:
         yield from self.until(
-            500, lambda: self.words("lost") == int(count), lambda: f"{self.words('lost')} lost"
+            500, lambda: self.gossip_count("lost") == int(count), lambda: f"{self.gossip_count('lost')} lost"
         )
 
-    def counted(self, end: str, count: str) -> None:
-        assert self.words(end) == int(count), f"{self.words(end)} {end}"
+    def check_gossip_count(self, end: str, count: str) -> None:
+        assert self.gossip_count(end) == int(count), f"{self.gossip_count(end)} {end}"
 
-    def words(self, end: str) -> float:
-        found = self.gateway.metrics.registry.get_sample_value("stackpitch_peer_words_total", {"end": end})
-        return found or 0
+    def gossip_count(self, end: str) -> float:
+        value = self.gateway.metrics.registry.get_sample_value("stackpitch_peer_words_total", {"end": end})
+        return value or 0
 
     def do_settings(self, **given: str) -> None:
         for name, value in given.items():
             part, _, key = name.partition(".")
-            self.over.setdefault(part, {})[key] = int(value)
+            self.overrides.setdefault(part, {})[key] = int(value)
 
     def do_fleet(self, *names: str) -> Coro[None]:
         for name in names:
-            one = self.engines[name] = ScriptedEngine(self, name)
-            self.group.spawn(one.serve(self.group), name)
+            scripted = self.engines[name] = ScriptedEngine(self, name)
+            self.group.spawn(scripted.serve(self.group), name)
             self.states[name] = {"state": "ready"}
         self.write_list()
         tree = {key: dict(value) if isinstance(value, dict) else value for key, value in SETTINGS.items()}
-        for part, values in self.over.items():
+        for part, values in self.overrides.items():
             tree[part] = {**tree.get(part, {}), **values}
         settings = check(
             Settings, {**tree, "roster": str(self.folder / "fleet"), "kept": str(self.folder / "kept")}, "x"
@@ -351,7 +357,7 @@
         )
         self.keeper = Keeper(self.world, self.group, log, metrics, self.gateway, settings)
         self.keeper.begin()
-        if "peers" in self.over:
+        if "peers" in self.overrides:
             routes = _routes(self.gateway, self.keeper, metrics)
             self.group.spawn(Admin(self.world, routes).serve(self.group, self.admin), "admin")
         self.listener = self.world.listen(("127.0.0.1", 0))
@@ -401,7 +407,7 @@
         try:
             stream = yield from self.world.connect(self.listener.address, SECOND)
         except ConnectFailed:
-            raise AssertionError("the door is closed") from None
+            raise AssertionError("the listener is closed") from None
         client = self.clients[name] = Client(stream)
         self.ask(client, name, product, tok, limit, whole, session)
 
@@ -432,7 +438,7 @@
         if what == "probe":
             self.gateway.probe(servers[name])
             return
-        gen = next(gen for gen, ask in self.gateway.requests.items() if ask.request_id == name)
+        gen = next(gen for gen, request in self.gateway.requests.items() if request.request_id == name)
         if what == "cancel":
             self.gateway.cancel(gen.legs[-1])
         elif what == "move":
@@ -501,8 +507,8 @@
                 client.after = (
                     (yield from client.stream.recv()) if reader.status == 200 and not client.gone else b""
                 )
-        except (Lost, http.BadMessage) as wrong:
-            client.end = client.end or f"broken {wrong}"
+        except (Lost, http.BadMessage) as error:
+            client.end = client.end or f"broken {error}"
 
     def until(self, ms: int, what: Any, text: str) -> Coro[None]:
         for _ in range(ms // 4 + 1):
@@ -517,8 +523,8 @@
         assert client.end is not None and client.end.startswith(wanted), f"ended as {client.end!r}"
 
     def expect_legs(self, name: str, *engines: str) -> None:
-        found = [one.name for one in self.engines.values() for leg in one.legs if leg == name]
-        assert sorted(found) == sorted(engines), f"legs at {found}"
+        names = [one.name for one in self.engines.values() for leg in one.legs if leg == name]
+        assert sorted(names) == sorted(engines), f"legs at {names}"
 
     def expect_words(self, name: str, count: str) -> None:
         assert len(self.clients[name].words) == int(count), f"{len(self.clients[name].words)} words"
@@ -537,15 +543,19 @@
         assert not self.clients[name].after, f"{self.clients[name].after[:60]!r} came"
 
     def expect_buffered(self, most: str) -> None:
-        waits = sum(ask.client.buffered for ask in self.gateway.requests.values() if ask.client is not None)
+        waits = sum(
+            request.client.buffered
+            for request in self.gateway.requests.values()
+            if request.client is not None
+        )
         assert 0 < waits <= int(most), f"{waits} bytes wait"
 
     def expect_roster(self, version: str) -> None:
         assert self.gateway.roster.version == int(version), f"version {self.gateway.roster.version}"
 
     def expect_servers(self, *names: str) -> None:
-        found = [one.name for one in self.gateway.roster.addresses]
-        assert sorted(found) == sorted(names), f"servers {found}"
+        listed = [server.name for server in self.gateway.roster.addresses]
+        assert sorted(listed) == sorted(names), f"servers {listed}"
 
     def expect_rejected(self, *words: str) -> None:
         assert " ".join(words) in (self.rejected or ""), f"said {self.rejected!r}"
@@ -555,7 +565,7 @@
         yield from self.until(
             1500,
             lambda: not gateway.requests and not gateway.pending_calls,
-            lambda: f"{len(gateway.requests)} asks left",
+            lambda: f"{len(gateway.requests)} requests left",
         )
         assert not gateway.brain.holds.since and not gateway.brain.writer.plan
         assert all(pool.open == len(pool.idle) for pool in gateway.pools.values()), "a connection is lost"
--- a/tests/test_attempt_ends.py
+++ b/tests/test_attempt_ends.py
@@ -1,4 +1,4 @@
-"""An attempt's own time is up no later than its request's, whatever held the process between the decision and its begin."""
+"""An attempt's deadline is no later than its request's, however long the process was held up before."""
 
 from types import SimpleNamespace
 from typing import Any
@@ -13,7 +13,10 @@
 
 
 def test_a_process_held_up_as_it_sends_gives_an_attempt_no_more_than_is_left() -> None:
-    """Decided with 100 ms left, begun 40 ms later: else the host answers by itself, 20 ms after the request's time."""
+    """Decided with 100 ms left, begun 40 ms later.
+
+    With a later deadline the host's watchdog would answer by itself, 20 ms after the request's deadline.
+    """
     decided, left, held_up = 1000 * MS, 100 * MS, 40 * MS
     host: Any = SimpleNamespace(
         world=SimpleNamespace(now=lambda: decided + held_up),
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -1,8 +1,8 @@
-"""How connections end on sockets of this machine, with bytes put before, between and after each step.
+"""How connections end on real sockets, with the peer's bytes arriving before, between and after each step.
 
-A scene runs once to count its points: those it names, and one before and one after each call of the socket that is looked
-at. Then it runs once for each point, at which the other side's bytes arrive; on loopback they are in the kernel at once,
-and nobody has polled since.
+A scene runs once to count its points: those that it names, and one before and one after each call of the
+socket under test. Then it runs once for each point, at which the peer's bytes arrive; on loopback they are in
+the socket buffer at once, and the loop has not polled since.
 """
 
 import socket
@@ -12,7 +12,7 @@
 from typing import Any
 
 import pytest
-from test_door import Answering, answer, door, request
+from test_door import AnsweringHost, answer, make_listener, request
 
 from stackpitch.gateway.outcomes import Phase
 from stackpitch.gateway.pool import Budget, Pool
@@ -25,7 +25,7 @@
 
 
 class Points:
-    """Counts points; at the chosen one the act happens, once."""
+    """Counts the points of a scene; at the chosen one `act` is called, once."""
 
     def __init__(self, chosen: int) -> None:
         self.chosen, self.count = chosen, 0
@@ -38,43 +38,43 @@
         self.names.append(name)
         self.count += 1
 
-    def came_by(self, name: str) -> bool:
-        """Whether the act was at the last point of that name or before it."""
+    def acted_by(self, name: str) -> bool:
+        """Whether `act` was called at the last point of that name or before it."""
         return 0 <= self.chosen <= max((at for at, one in enumerate(self.names) if one == name), default=-1)
 
 
-class Spied:
+class SpiedSocket:
     """A socket with a point before and after each call that matters."""
 
     def __init__(self, sock: Any, point: Points) -> None:
         self.sock, self.point = sock, point
 
     def __getattr__(self, name: str) -> Any:
-        found = getattr(self.sock, name)
+        attribute = getattr(self.sock, name)
         if name not in ("recv", "send", "shutdown", "close"):
-            return found
+            return attribute
 
         def call(*given: Any) -> Any:
             self.point(f"before {name}")
             try:
-                return found(*given)
+                return attribute(*given)
             finally:
                 self.point(f"after {name}")
 
         return call
 
 
-def searched(scene: Scene) -> int:
-    """Plays the scene for each of its points, and once without the act; how many there were."""
+def play_all_points(scene: Scene) -> int:
+    """Plays the scene once without the act and once for each of its points; returns their number."""
     unacted = Points(-1)
     scene(unacted)
     for chosen in range(unacted.count):
         point = Points(chosen)
         try:
             scene(point)
-        except AssertionError as wrong:
+        except AssertionError as error:
             raise AssertionError(
-                f"at point {chosen}, {(*point.names, 'the last')[chosen]}: {wrong}"
+                f"at point {chosen}, {(*point.names, 'the last')[chosen]}: {error}"
             ) from None
     return unacted.count
 
@@ -93,7 +93,7 @@
         far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         far.close()
         return
-    with suppress(OSError):  # it may be shut already
+    with suppress(OSError):  # it may be closed already
         far.sendall(STRAYS[kind])
         if "end" in kind:
             far.shutdown(socket.SHUT_WR)
@@ -101,8 +101,8 @@
 
 @pytest.mark.parametrize("step", ["taken", "taken, new", "swept", "makes way", "its server is gone"])
 @pytest.mark.parametrize("kind", STRAYS)
-def test_bytes_on_a_resting_connection_to_a_server(kind: str, step: str) -> None:
-    """What came before the look that goes with its use is never read as an answer; whatever comes, no place is lost."""
+def test_stray_bytes_on_an_idle_connection_to_a_server(kind: str, step: str) -> None:
+    """Bytes from before the check at reuse are never read as a response; whatever comes, no slot is lost."""
 
     def scene(point: Points) -> None:
         world, budget = RealWorld(), Budget(1 if step == "makes way" else 4)
@@ -120,16 +120,16 @@
             far.sendall(b"its answer")
             yield from first.recv()
             point.act = lambda: stray(far, kind)
-            first.sock = Spied(first.sock, point)  # type: ignore[attr-defined]
-            point("its answer is whole")
+            first.sock = SpiedSocket(first.sock, point)  # type: ignore[attr-defined]
+            point("its response is complete")
             pool.release(first)
             point("it rests")
             yield from world.sleep(2 * MS)
             point("it rests, and the loop has polled")
             yield from world.sleep(5 * MS)
             point("it is rested")
-            seen = point.came_by("before recv" if "before recv" in point.names else "it is rested")
-            assert first.closed == seen, "it is kept with bytes on it, or closed without"
+            seen = point.acted_by("before recv" if "before recv" in point.names else "it is rested")
+            assert first.closed == seen, "it is reused with bytes on it, or closed without any"
             point("it is kept")
             if step == "swept":
                 pool.idle_time = -1
@@ -141,7 +141,7 @@
                     (yield from pools[step == "makes way"].acquire([Phase.QUEUED], fresh="new" in step))
                 )
                 if near[0] is first:
-                    assert not point.came_by("it is kept") and not point.came_by("before recv"), (
+                    assert not point.acted_by("it is kept") and not point.acted_by("before recv"), (
                         "it is used with bytes on it"
                     )
                 else:
@@ -160,7 +160,7 @@
         for one in (listener, other):
             one.close()
 
-    assert searched(scene) >= 7
+    assert play_all_points(scene) >= 7
 
 
 COME = {
@@ -173,14 +173,17 @@
 
 @pytest.mark.parametrize("step", ["SIGTERM", "its rest is over", "its place is wanted"])
 @pytest.mark.parametrize("kind", COME)
-def test_bytes_as_a_resting_client_is_half_closed(kind: str, step: str) -> None:
-    """Served whole, or an end without an answer and nobody heard of it; a reset only to what comes after the close."""
+def test_bytes_as_an_idle_client_connection_is_half_closed(kind: str, step: str) -> None:
+    """Either served completely, or closed without a response and never passed to the host.
+
+    A reset may only follow what arrives after the close.
+    """
 
     def scene(point: Points) -> None:
-        world, host = RealWorld(), Answering()
+        world, host = RealWorld(), AnsweringHost()
 
         def body(group: Group) -> Coro[None]:
-            made = door(
+            client_listener = make_listener(
                 world,
                 host,
                 max_connections=1 if "place" in step else 50,
@@ -189,7 +192,7 @@
                 body=20 * MS,
             )
             listener = world.listen(("127.0.0.1", 0))
-            group.spawn(made.serve(group, listener), "door")
+            group.spawn(client_listener.serve(group, listener), "door")
             client = yield from world.connect(listener.address, SECOND)
             client.write(request("a" * 16))
             assert (yield from answer(client)) is not None
@@ -202,11 +205,11 @@
                         client.sock.shutdown(socket.SHUT_WR)  # type: ignore[attr-defined]
 
             point.act = come
-            near = next(iter(made.idle_connections))
-            near.sock = Spied(near.sock, point)  # type: ignore[attr-defined]
+            near = next(iter(client_listener.idle_connections))
+            near.sock = SpiedSocket(near.sock, point)  # type: ignore[attr-defined]
             point("it rests")
             if step == "SIGTERM":
-                made.close_idle()
+                client_listener.close_idle()
             elif "place" in step:
                 (yield from world.connect(listener.address, SECOND)).close()
             else:
@@ -214,46 +217,51 @@
             point("after the step")
             yield from world.sleep(5 * MS)
             point("later")
-            got = []
+            received = []
             try:
-                got.append((yield from answer(client)))
-                if got[0] is not None and got[0].status == 200:
-                    got.append((yield from answer(client)))
-                    assert got[1] is None, "a second answer"
-            except Lost as wrong:
-                assert "after close" in point.names and not point.came_by("after close"), (
-                    f"no clean end: {wrong}"
+                received.append((yield from answer(client)))
+                if received[0] is not None and received[0].status == 200:
+                    received.append((yield from answer(client)))
+                    assert received[1] is None, "a second answer"
+            except Lost as error:
+                assert "after close" in point.names and not point.acted_by("after close"), (
+                    f"no clean end: {error}"
                 )
             client.close()
-            taken = host.taken.count("beef" * 4)
-            if point.came_by("it rests") and "before recv" not in point.names[: point.chosen]:
-                # One that has ended its sending counts as gone, and may still read: it is answered, and nobody hears of it.
-                status = got[0].status if got and got[0] is not None else None
+            taken = host.accepted.count("beef" * 4)
+            if point.acted_by("it rests") and "before recv" not in point.names[: point.chosen]:
+                # A client that has sent FIN counts as gone but may still read: it gets a response, and the
+                # host never sees its request.
+                status = received[0].status if received and received[0] is not None else None
                 wanted = {
                     "a whole request": 200,
                     "half a line": 408,
                     "a whole request, then the end": 429,
                 }.get(kind)
                 assert status == wanted, f"it was there, unseen: {status}"
-            assert taken == sum(one is not None and one.status == 200 for one in got), f"taken {taken} times"
+            assert taken == sum(one is not None and one.status == 200 for one in received), (
+                f"taken {taken} times"
+            )
             yield from world.sleep(30 * MS)
-            assert not made.connections and not made.lingering and not made.idle_connections, "it stays"
+            assert (
+                not client_listener.connections
+                and not client_listener.lingering
+                and not client_listener.idle_connections
+            ), "it stays"
             listener.close()
             group.cancel()
 
         world.run(world.group(body))
         world.epoll.close()
 
-    assert searched(scene) >= 6
+    assert play_all_points(scene) >= 6
 
 
-@pytest.mark.parametrize("made", [RealWorld, lambda: VirtualWorld(3)], ids=["real", "virtual"])
+@pytest.mark.parametrize("make_world", [RealWorld, lambda: VirtualWorld(3)], ids=["real", "virtual"])
 @pytest.mark.parametrize("finished", [False, True])
 @pytest.mark.parametrize("who", ["near", "far"])
-def test_what_is_buffered_at_a_reset_was_not_taken(
-    who: str, finished: bool, made: Callable[[], World]
-) -> None:
-    """Whoever waits for the other side to take all hears that it did not."""
+def test_draining_fails_on_a_reset(who: str, finished: bool, make_world: Callable[[], World]) -> None:
+    """A task that drains a connection gets an error if the peer did not read everything."""
 
     def main(world: World) -> Coro[bool]:
         listener = world.listen(("127.0.0.1", 0))
@@ -270,13 +278,13 @@
             return True
         return False
 
-    world = made()
+    world = make_world()
     assert world.run(main(world))
 
 
 @pytest.mark.parametrize("late", [0, 20 * MS])
-def test_a_half_close_behind_what_is_buffered(late: Any) -> None:
-    """The client takes all of it, then sees the end, though it sends on meanwhile."""
+def test_a_half_close_after_buffered_bytes(late: Any) -> None:
+    """The client receives everything, then the end, even if it sends meanwhile."""
 
     def main(world: RealWorld) -> Coro[tuple[int, bytes]]:
         listener = world.listen(("127.0.0.1", 0))
@@ -298,11 +306,14 @@
 
 
 def test_connections_that_wait_in_the_accept_queue_as_the_listener_closes_are_answered() -> None:
-    """More than are accepted in one go; each has sent its request, and one waits without any. A plain close resets them."""
+    """More connections than are accepted in one go, each with its request sent, and one without any.
+
+    Closing the listener without accepting them first would reset them.
+    """
 
     def body(group: Group) -> Coro[list[int | None]]:
-        made, listener = door(world, host), world.listen(("127.0.0.1", 0))
-        group.spawn(made.serve(group, listener), "door")
+        client_listener, listener = make_listener(world, host), world.listen(("127.0.0.1", 0))
+        group.spawn(client_listener.serve(group, listener), "door")
         yield from world.sleep(2 * MS)
         clients = []
         for number in range(40):
@@ -312,17 +323,17 @@
             clients.append(RealStream(world, sock, listener.address))
         silent = yield from world.connect(listener.address, SECOND)
         listener.finish()
-        found = []
+        statuses = []
         for one in [*clients, silent]:
-            got = yield from answer(one)
-            found.append(None if got is None else got.status)
+            received = yield from answer(one)
+            statuses.append(None if received is None else received.status)
             one.close()
         with pytest.raises(ConnectFailed):
             yield from world.connect(listener.address, SECOND)
-        assert not made.accepting
+        assert not client_listener.accepting
         group.cancel()
-        return found
+        return statuses
 
-    world, host = RealWorld(), Answering()
+    world, host = RealWorld(), AnsweringHost()
     assert world.run(world.group(body)) == [200] * 40 + [503]
     world.epoll.close()
--- a/tests/test_counted_calls.py
+++ b/tests/test_counted_calls.py
@@ -1,4 +1,4 @@
-"""What a small call raises ends that call alone, whatever it is."""
+"""An error in a call to an engine, of any kind, is logged and ends that call alone."""
 
 from typing import Any
 
@@ -9,18 +9,18 @@
 from stackpitch.loop.virtual import VirtualWorld
 
 
-class Lines:
-    """Log lines, by level and event."""
+class RecordedLog:
+    """A log that records the level and event of each line."""
 
     def __init__(self) -> None:
-        self.said: list[tuple[str, str]] = []
+        self.lines: list[tuple[str, str]] = []
 
     def __getattr__(self, level: str) -> Any:
-        return lambda event, **fields: self.said.append((level, event))
+        return lambda event, **fields: self.lines.append((level, event))
 
 
 @pytest.mark.parametrize(
-    ("wrong", "said"),
+    ("error", "line"),
     [
         (Lost("reset"), ("warning", "call_failed")),
         (ConnectFailed("refused"), ("warning", "call_failed")),
@@ -28,19 +28,19 @@
         (KeyError("odd"), ("exception", "call_raised")),
     ],
 )
-def test_a_call_that_raises(wrong: Exception, said: tuple[str, str]) -> None:
-    world, lines = VirtualWorld(), Lines()
-    host: Any = EngineConnections.__new__(EngineConnections)
-    host.pending_calls, host.log = 0, lines
+def test_a_call_that_raises(error: Exception, line: tuple[str, str]) -> None:
+    world, log = VirtualWorld(), RecordedLog()
+    connections: Any = EngineConnections.__new__(EngineConnections)
+    connections.pending_calls, connections.log = 0, log
 
     def call() -> Coro[None]:
         yield from world.sleep(MS)
-        raise wrong
+        raise error
 
     def body(group: Group) -> Coro[str]:
-        group.spawn(host.tracked(call()), "call")
+        group.spawn(connections.tracked(call()), "call")
         yield from world.sleep(5 * MS)
         return "goes on"
 
     assert world.run(world.group(body)) == "goes on"
-    assert lines.said == [said] and not host.pending_calls
+    assert log.lines == [line] and not connections.pending_calls
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -1,4 +1,4 @@
-"""The door on sockets of this machine: how connections end, and what strangers can cost."""
+"""The client listener on real and virtual sockets: how connections end, and what bad clients can cost."""
 
 from types import SimpleNamespace
 from typing import Any
@@ -15,25 +15,25 @@
 CHAT = Product("chat", "idempotent", "all", 0, 10_000, 0, 600, 40_000, 1, 0)
 
 
-class Answering:
-    """Stands for the host: answers each request that is taken."""
+class AnsweringHost:
+    """A host that answers each accepted request at once. `accepted`: the ids of the requests."""
 
     def __init__(self) -> None:
-        self.name, self.requests, self.taken = "h", dict[Any, Any](), list[str]()
+        self.name, self.requests, self.accepted = "h", dict[Any, Any](), list[str]()
         self.denials = Denials()
 
-    def request_arrived(self, ask: Any) -> None:
-        self.taken.append(ask.gen.name)
-        ask.begin(0)
-        ask.forward([b"data: {}\n\n", b"data: [DONE]\n\n"])
-        ask.finish()
+    def request_arrived(self, client_request: Any) -> None:
+        self.accepted.append(client_request.gen.name)
+        client_request.begin(0)
+        client_request.forward([b"data: {}\n\n", b"data: [DONE]\n\n"])
+        client_request.finish()
 
-    def client_departed(self, ask: Any) -> None:
-        ask.detach_client()
+    def client_departed(self, client_request: Any) -> None:
+        client_request.detach_client()
 
 
-def door(world: World, host: Any, **odd: Any) -> PlatformDoor:
-    given: dict[str, Any] = {
+def make_listener(world: World, host: Any, **overrides: Any) -> PlatformDoor:
+    settings: dict[str, Any] = {
         "max_connections": 50,
         "max_bodies": 1 << 20,
         "max_body": 1 << 18,
@@ -44,11 +44,11 @@
         "stall": SECOND,
         "margin": MS,
         "fresh": SECOND // 5,
-    } | odd
+    } | overrides
     log: Any = SimpleNamespace(exception=lambda event, **fields: print(event, fields))
-    made = PlatformDoor(world, host, log, NoCounts(), None, **given)  # type: ignore[arg-type]
-    made.products = {"chat": CHAT}
-    return made
+    client_listener = PlatformDoor(world, host, log, NoCounts(), None, **settings)  # type: ignore[arg-type]
+    client_listener.products = {"chat": CHAT}
+    return client_listener
 
 
 def request(name: str, body: bytes = b"{}") -> bytes:
@@ -62,7 +62,7 @@
 
 
 def answer(stream: Stream) -> Coro[http.ResponseReader | None]:
-    """None: an end without an answer. Raises Lost on a reset."""
+    """Reads one response; None if the connection ends without. Raises Lost on a reset."""
     reader = http.ResponseReader(1 << 14, 1 << 20)
     while not reader.complete:
         data = yield from stream.recv()
@@ -72,59 +72,64 @@
     return reader
 
 
-def played(body: Any, world: World | None = None, **odd: Any) -> Any:
-    world, host = world or RealWorld(), Answering()
+def run_with_listener(body: Any, world: World | None = None, **overrides: Any) -> Any:
+    world, host = world or RealWorld(), AnsweringHost()
 
     def main() -> Coro[Any]:
         def inside(group: Group) -> Coro[Any]:
-            made, listener = door(world, host, **odd), world.listen(("127.0.0.1", 0))
-            group.spawn(made.serve(group, listener), "door")
-            found = yield from body(world, group, made, host, listener.address)
+            client_listener, listener = (
+                make_listener(world, host, **overrides),
+                world.listen(("127.0.0.1", 0)),
+            )
+            group.spawn(client_listener.serve(group, listener), "door")
+            result = yield from body(world, group, client_listener, host, listener.address)
             listener.close()
             group.cancel()
-            return found
+            return result
 
         return (yield from world.group(inside))
 
     return world.run(main())
 
 
-def test_bytes_before_and_after_a_resting_connection_is_shut() -> None:
-    """In turn: the request is in the kernel as the gateway looks; it comes on the half-closed connection; both."""
+def test_requests_around_the_half_close_of_an_idle_connection() -> None:
+    """In turn: the request is in the socket buffer at the check; it arrives after the half-close; both."""
 
     def body(
-        world: RealWorld, group: Group, made: PlatformDoor, host: Answering, address: Any
+        world: RealWorld, group: Group, client_listener: PlatformDoor, host: AnsweringHost, address: Any
     ) -> Coro[list[Any]]:
         seen = []
         for when in ("before", "after", "both"):
-            made.stopping = False
+            client_listener.stopping = False
             stream = yield from world.connect(address, SECOND)
             stream.write(request("0" * 15 + str(len(seen))))
             first = yield from answer(stream)
             yield from world.sleep(5 * MS)
             if when != "after":
-                stream.write(request("beef" * 4))  # nobody has polled since
-            made.close_idle()
+                stream.write(request("beef" * 4))  # the loop has not polled since
+            client_listener.close_idle()
             if when != "before":
                 stream.write(request("dead" * 4))
             try:
                 second = yield from answer(stream)
                 end = yield from stream.recv()
-            except Lost as wrong:
-                second, end = None, str(wrong).encode()
+            except Lost as error:
+                second, end = None, str(error).encode()
             seen.append((when, first is not None, second and second.headers.get("connection"), end))
             stream.close()
             yield from world.sleep(5 * MS)
         return [
             seen,
-            host.taken.count("beef" * 4),
-            host.taken.count("dead" * 4),
-            made.connections,
-            len(made.lingering),
+            host.accepted.count("beef" * 4),
+            host.accepted.count("dead" * 4),
+            client_listener.connections,
+            len(client_listener.lingering),
         ]
 
-    seen, before, after, left, lingering = played(body)
-    assert before == 2 and after == 0, "what came before is served, what comes after the half-close never"
+    seen, before, after, left, lingering = run_with_listener(body)
+    assert before == 2 and after == 0, (
+        "a request from before the half-close is served, one from after it never"
+    )
     assert seen[0] == ("before", True, "close", b"")
     assert seen[1] == ("after", True, None, b"")
     assert seen[2][:3] == ("both", True, "close")  # the surplus is refused after the answer
@@ -132,47 +137,55 @@
 
 
 def test_an_answer_before_a_close_is_not_lost_to_a_reset() -> None:
-    """The client goes on sending while the last answer of its connection is on its way to it."""
+    """The client sends on while the last response of its connection is on its way to it."""
 
-    def body(world: RealWorld, group: Group, made: PlatformDoor, host: Answering, address: Any) -> Coro[int]:
-        whole = 0
+    def body(
+        world: RealWorld, group: Group, client_listener: PlatformDoor, host: AnsweringHost, address: Any
+    ) -> Coro[int]:
+        complete = 0
         for number in range(20):
-            made.stopping = False
+            client_listener.stopping = False
             stream = yield from world.connect(address, SECOND)
             stream.write(request(f"a{number:015d}"))
-            made.stopping = True
+            client_listener.stopping = True
             yield from world.sleep(number * 2)
             stream.write(b"x" * 5000)
             yield from world.sleep(5 * MS)
-            got = yield from answer(stream)
-            whole += got is not None and got.status == 200 and got.headers["connection"] == "close"
+            received = yield from answer(stream)
+            complete += (
+                received is not None and received.status == 200 and received.headers["connection"] == "close"
+            )
             stream.close()
-        return whole
+        return complete
 
-    assert played(body) == 20
+    assert run_with_listener(body) == 20
 
 
-def test_one_that_asks_and_never_reads_does_not_keep_its_place() -> None:
-    def body(world: World, group: Group, made: PlatformDoor, host: Answering, address: Any) -> Coro[bool]:
+def test_a_client_that_never_reads_is_cut_off() -> None:
+    def body(
+        world: World, group: Group, client_listener: PlatformDoor, host: AnsweringHost, address: Any
+    ) -> Coro[bool]:
         stream = yield from world.connect(address, SECOND)
         try:
-            for _ in range(6000):  # more answers than the buffers between have room for
+            for _ in range(6000):  # more responses than fit into the buffers on the way
                 stream.write(b"GET /-/healthy HTTP/1.1\r\n\r\n")
                 yield from world.sleep(MS)
-                if made.connections == 0:
+                if client_listener.connections == 0:
                     return True
         except Lost:
             pass
         yield from world.sleep(2 * SECOND)
-        return made.connections == 0
+        return client_listener.connections == 0
 
-    assert played(body, VirtualWorld(3))
+    assert run_with_listener(body, VirtualWorld(3))
 
 
-def test_one_that_sends_on_behind_its_last_answer_is_read_no_further_than_a_body() -> None:
-    """At full speed for half a second it would take the others' time; 16 MB leave room for what systems buffer."""
+def test_bytes_after_the_last_response_are_read_up_to_the_size_of_a_body() -> None:
+    """Half a second at full speed would take time from other clients; 16 MB allow for kernel buffers."""
 
-    def body(world: RealWorld, group: Group, made: PlatformDoor, host: Answering, address: Any) -> Coro[int]:
+    def body(
+        world: RealWorld, group: Group, client_listener: PlatformDoor, host: AnsweringHost, address: Any
+    ) -> Coro[int]:
         stream, sent = (yield from world.connect(address, SECOND)), 0
         stream.write(b"GET /elsewhere HTTP/1.1\r\n\r\n")
         try:
@@ -186,10 +199,10 @@
         stream.close()
         return sent
 
-    assert played(body) < 16 << 20
+    assert run_with_listener(body) < 16 << 20
 
 
-BAD: dict[str, bytes] = {  # sent over and over, a piece each millisecond, by one that never reads
+BAD: dict[str, bytes] = {  # sent repeatedly, once a millisecond, by a client that never reads
     "says nothing": b"",
     "a head without an end": b"x",
     "a head over its bound": b"x" * 4000,
@@ -202,11 +215,11 @@
 }
 
 
-def test_others_are_served_among_many_that_are_bad() -> None:
-    """Ten of each kind, each coming again as it is shut out; fifty good requests among them, one every 20 ms."""
+def test_good_clients_are_served_among_bad_ones() -> None:
+    """Ten bad clients of each kind, which reconnect when cut off; fifty good requests, one every 20 ms."""
 
     def body(
-        world: RealWorld, group: Group, made: PlatformDoor, host: Answering, address: Any
+        world: RealWorld, group: Group, client_listener: PlatformDoor, host: AnsweringHost, address: Any
     ) -> Coro[dict[str, int]]:
         most = {
             "connections": 0,
@@ -235,48 +248,48 @@
                 group.spawn(bad(kind), kind)
         yield from world.sleep(300 * MS)
         for number in range(50):
-            begun, got = world.now(), None
-            for _ in range(3):  # a connection may be turned away, or make way for another
+            begun, received = world.now(), None
+            for _ in range(3):  # a connection may be rejected, or evicted for another
                 try:
                     stream = yield from world.connect(address, SECOND)
                     stream.write(request(f"{number:016x}"))
-                    got = yield from answer(stream)
+                    received = yield from answer(stream)
                     stream.close()
                 except (Lost, ConnectFailed):
                     continue
-                if got is not None and got.status == 200:
+                if received is not None and received.status == 200:
                     break
-            most["lost"] += got is None or got.status != 200
+            most["lost"] += received is None or received.status != 200
             most["late"] += world.now() - begun > 500 * MS
             for table in ("connections", "body_bytes", "lingering", "idle_connections"):
-                found = getattr(made, table)
+                found = getattr(client_listener, table)
                 most[table] = max(most[table], found if isinstance(found, int) else len(found))
             yield from world.sleep(20 * MS)
         return most
 
-    most = played(body, max_connections=120)
+    most = run_with_listener(body, max_connections=120)
     assert most["lost"] == most["late"] == 0, str(most)
     assert most["connections"] <= 120 + 17 and most["body_bytes"] <= 1 << 20, str(most)
 
 
 def test_a_request_whose_facts_raise_is_answered() -> None:
-    """An error that nobody thought of costs its request alone, which is still owed an answer."""
+    """An unforeseen error costs its request alone, which is still owed a response."""
 
     def body(
-        world: RealWorld, group: Group, made: PlatformDoor, host: Answering, address: Any
+        world: RealWorld, group: Group, client_listener: PlatformDoor, host: AnsweringHost, address: Any
     ) -> Coro[list[int | None]]:
         class Odd(dict[str, Product]):
             def get(self, *_: Any) -> Any:
                 raise KeyError("odd")
 
-        found, good = list[int | None](), made.products
+        statuses, good = list[int | None](), client_listener.products
         for products in (Odd(), good):
-            made.products = products
+            client_listener.products = products
             stream = yield from world.connect(address, SECOND)
             stream.write(request("a" * 16))
-            got = yield from answer(stream)
-            found.append(None if got is None else got.status)
+            received = yield from answer(stream)
+            statuses.append(None if received is None else received.status)
             stream.close()
-        return found
+        return statuses
 
-    assert played(body) == [500, 200]
+    assert run_with_listener(body) == [500, 200]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway on loopback sockets, in the scenes of `scenarios_gateway`."""
+"""The gateway on loopback sockets, in the scenarios of `scenarios_gateway`."""
 
 from pathlib import Path
 
@@ -10,7 +10,7 @@
 
 
 def test_fifty_streams_on_a_server_that_is_dropped_and_back(tmp_path: Path) -> None:
-    """It comes back a second later with another start: all fifty end well, and no leg is sent twice."""
+    """It returns a second later with another start time: all fifty streams end well, no leg is sent twice."""
     names = [f"a{number}" for number in range(50)]
     Stage(tmp_path).play(
         [
