--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -81,7 +81,7 @@
 
 STRAYS = {
     "half a line": b"HTTP/1.1 202 Acc",
-    "a whole answer": http.response(202, b"{}"),
+    "a complete response": http.response(202, b"{}"),
     "half a line, then the end": b"HTTP/1.1 2",
     "the end": b"",
     "a reset": b"",
@@ -99,13 +99,15 @@
             far.shutdown(socket.SHUT_WR)
 
 
-@pytest.mark.parametrize("step", ["taken", "taken, new", "swept", "makes way", "its server is gone"])
+@pytest.mark.parametrize(
+    "step", ["reused", "replaced by a new one", "swept", "evicted", "its server is gone"]
+)
 @pytest.mark.parametrize("kind", STRAYS)
 def test_stray_bytes_on_an_idle_connection_to_a_server(kind: str, step: str) -> None:
     """Bytes from before the check at reuse are never read as a response; whatever comes, no slot is lost."""
 
     def scene(point: Points) -> None:
-        world, budget = RealWorld(), Budget(1 if step == "makes way" else 4)
+        world, budget = RealWorld(), Budget(1 if step == "evicted" else 4)
         listener, other = (socket.create_server(("127.0.0.1", 0)) for _ in range(2))
         near: list[Stream] = []
 
@@ -123,14 +125,14 @@
             first.sock = SpiedSocket(first.sock, point)  # type: ignore[attr-defined]
             point("its response is complete")
             pool.release(first)
-            point("it rests")
+            point("it settles")
             yield from world.sleep(2 * MS)
-            point("it rests, and the loop has polled")
+            point("it settles, and the loop has polled")
             yield from world.sleep(5 * MS)
-            point("it is rested")
-            seen = point.acted_by("before recv" if "before recv" in point.names else "it is rested")
-            assert first.closed == seen, "it is reused with bytes on it, or closed without any"
-            point("it is kept")
+            point("it has settled")
+            seen = point.acted_by("before recv" if "before recv" in point.names else "it has settled")
+            assert first.closed == seen, "it is kept with bytes on it, or closed without any"
+            point("it is idle")
             if step == "swept":
                 pool.idle_time = -1
                 pool.sweep()
@@ -138,21 +140,21 @@
                 pool.close()
             else:
                 near.append(
-                    (yield from pools[step == "makes way"].acquire([Phase.QUEUED], fresh="new" in step))
+                    (yield from pools[step == "evicted"].acquire([Phase.QUEUED], fresh="new" in step))
                 )
                 if near[0] is first:
-                    assert not point.acted_by("it is kept") and not point.acted_by("before recv"), (
-                        "it is used with bytes on it"
+                    assert not point.acted_by("it is idle") and not point.acted_by("before recv"), (
+                        "it is reused with bytes on it"
                     )
                 else:
-                    assert step != "taken" or point.chosen >= 0, "nothing came, and it was not used"
-                    near[0].write(b"x")  # it is a good one
+                    assert step != "reused" or point.chosen >= 0, "nothing arrived, and it was not reused"
+                    near[0].write(b"x")  # it can be used
             point("after the step")
             for one in near:
-                pools[step == "makes way"].discard(one)
+                pools[step == "evicted"].discard(one)
             pool.close()
             yield from world.sleep(6 * MS)
-            assert not budget.open and not budget.idle and not pool.open, f"{budget.open} places are lost"
+            assert not budget.open and not budget.idle and not pool.open, f"{budget.open} slots are lost"
             far.close()
 
         world.run(main())
@@ -164,14 +166,14 @@
 
 
 COME = {
-    "a whole request": request("beef" * 4),
+    "a complete request": request("beef" * 4),
     "half a line": b"POST /v1/cha",
     "the end": b"",
-    "a whole request, then the end": request("beef" * 4),
+    "a complete request, then the end": request("beef" * 4),
 }
 
 
-@pytest.mark.parametrize("step", ["SIGTERM", "its rest is over", "its place is wanted"])
+@pytest.mark.parametrize("step", ["SIGTERM", "its idle time is over", "its slot is wanted"])
 @pytest.mark.parametrize("kind", COME)
 def test_bytes_as_an_idle_client_connection_is_half_closed(kind: str, step: str) -> None:
     """Either served completely, or closed without a response and never passed to the host.
@@ -186,8 +188,8 @@
             client_listener = make_listener(
                 world,
                 host,
-                max_connections=1 if "place" in step else 50,
-                idle=50 * MS if "rest" in step else SECOND,
+                max_connections=1 if "slot" in step else 50,
+                idle=50 * MS if "time" in step else SECOND,
                 head=20 * MS,
                 body=20 * MS,
             )
@@ -207,10 +209,10 @@
             point.act = come
             near = next(iter(client_listener.idle_connections))
             near.sock = SpiedSocket(near.sock, point)  # type: ignore[attr-defined]
-            point("it rests")
+            point("it is idle")
             if step == "SIGTERM":
                 client_listener.close_idle()
-            elif "place" in step:
+            elif "slot" in step:
                 (yield from world.connect(listener.address, SECOND)).close()
             else:
                 yield from world.sleep(49 * MS)
@@ -229,14 +231,14 @@
                 )
             client.close()
             taken = host.accepted.count("beef" * 4)
-            if point.acted_by("it rests") and "before recv" not in point.names[: point.chosen]:
+            if point.acted_by("it is idle") and "before recv" not in point.names[: point.chosen]:
                 # A client that has sent FIN counts as gone but may still read: it gets a response, and the
                 # host never sees its request.
                 status = received[0].status if received and received[0] is not None else None
                 wanted = {
-                    "a whole request": 200,
+                    "a complete request": 200,
                     "half a line": 408,
-                    "a whole request, then the end": 429,
+                    "a complete request, then the end": 429,
                 }.get(kind)
                 assert status == wanted, f"it was there, unseen: {status}"
             assert taken == sum(one is not None and one.status == 200 for one in received), (
