--- a/stackpitch/loop/__init__.py
+++ b/stackpitch/loop/__init__.py
@@ -1,7 +1,9 @@
-"""Tasks as generators on `select.epoll`: timers, scopes, groups, streams, signals, child processes.
+"""Event loop on `select.epoll` whose tasks are generators.
 
-All waiting, clock, sockets and I/O-side chance of the program go through a `World`; `RealWorld` is the one on
-this machine. Times are whole tenths of a millisecond.
+Offers timers, cancellation scopes, task groups, streams, signals and child processes.
+
+All waiting, clock reads, socket I/O and random numbers of the program's I/O layers go through a `World`;
+`RealWorld` is the implementation on the operating system. Times are integers in tenths of a millisecond.
 """
 
 from random import Random
--- a/stackpitch/loop/children.py
+++ b/stackpitch/loop/children.py
@@ -15,7 +15,7 @@
 
 
 class RealChild:
-    """A child process, waited for by its descriptor."""
+    """A child process, awaited through its pidfd."""
 
     def __init__(self, world: "RealWorld", process: "subprocess.Popen[bytes]") -> None:
         self.world, self.process, self.pid = world, process, process.pid
@@ -40,10 +40,11 @@
         return self.process.poll()
 
     def signal(self, number: int) -> None:
-        self.process.send_signal(number)  # does nothing once it has been waited for
+        self.process.send_signal(number)  # no effect once the exit code has been collected
 
 
 def spawn(world: "RealWorld", command: Sequence[str], output: str | None) -> RealChild:
+    """Starts a child process. Its output is appended to the file `output`, else inherited. Raises OSError."""
     if output is None:
         return RealChild(world, subprocess.Popen(command, stdin=subprocess.DEVNULL))
     with open(output, "ab") as sink:
@@ -53,17 +54,18 @@
 def spawn_piped(
     world: "RealWorld", command: Sequence[str], errors: str | None
 ) -> tuple[RealChild, socket.socket]:
-    """With our end of the pair that is its standard input and output."""
-    ours, theirs = socket.socketpair()
+    """Starts a child with a socket as its standard input and output; returns the other end. Raises
+    OSError."""
+    parent_end, child_end = socket.socketpair()
     sink = open(errors, "ab") if errors is not None else None  # noqa: SIM115
     try:
-        process = subprocess.Popen(command, stdin=theirs.fileno(), stdout=theirs.fileno(), stderr=sink)
+        process = subprocess.Popen(command, stdin=child_end.fileno(), stdout=child_end.fileno(), stderr=sink)
     except OSError:
-        ours.close()
+        parent_end.close()
         raise
     finally:
-        theirs.close()
+        child_end.close()
         if sink is not None:
             sink.close()
-    ours.setblocking(False)
-    return RealChild(world, process), ours
+    parent_end.setblocking(False)
+    return RealChild(world, process), parent_end
--- a/stackpitch/loop/file_system.py
+++ b/stackpitch/loop/file_system.py
@@ -1,30 +1,66 @@
-"""A disk for large files, a method for each system call. All calls block: run them aside."""
+"""File system for large files: one method per system call.
+
+All of them block, so call them through `World.run_blocking`.
+"""
 
 import os
 from typing import Protocol
 
 
 class FileSystem(Protocol):
-    """All raise OSError."""
-
-    def open(self, path: str, create: bool = False) -> int: ...  # to read and write, anywhere in it
-    def size(self, descriptor: int) -> int: ...
-    def read(self, descriptor: int, at: int, most: int) -> bytes: ...
-    def write(
-        self, descriptor: int, at: int, data: bytes
-    ) -> int: ...  # how much of it, as a system call does
-    def truncate(self, descriptor: int, size: int) -> None: ...
-    def sync(self, descriptor: int) -> None: ...
-    def close(self, descriptor: int) -> None: ...
-    def rename(self, old: str, new: str) -> None: ...
-    def remove(self, path: str) -> None: ...
-    def make_folder(self, path: str) -> None: ...  # makes it and those above it, where missing, durably
-    def list_folder(self, path: str) -> list[str]: ...  # in order; none if there is no such folder
-    def sync_folder(self, path: str) -> None: ...
+    """All methods raise OSError."""
+
+    def open(self, path: str, create: bool = False) -> int:
+        """Opens for random-access reading and writing and returns a descriptor."""
+        ...
+
+    def size(self, descriptor: int) -> int:
+        """Size in bytes."""
+        ...
+
+    def read(self, descriptor: int, at: int, most: int) -> bytes:
+        """Reads up to `most` bytes from offset `at`."""
+        ...
+
+    def write(self, descriptor: int, at: int, data: bytes) -> int:
+        """Writes at offset `at` and returns the number of bytes written, which may be less than all."""
+        ...
+
+    def truncate(self, descriptor: int, size: int) -> None:
+        """Sets the size."""
+        ...
+
+    def sync(self, descriptor: int) -> None:
+        """Flushes the file to disk."""
+        ...
+
+    def close(self, descriptor: int) -> None:
+        """Closes the descriptor."""
+        ...
+
+    def rename(self, old: str, new: str) -> None:
+        """Renames atomically, replacing `new`."""
+        ...
+
+    def remove(self, path: str) -> None:
+        """Deletes a file."""
+        ...
+
+    def make_folder(self, path: str) -> None:
+        """Creates the folder and any missing parents, and flushes them to disk."""
+        ...
+
+    def list_folder(self, path: str) -> list[str]:
+        """Sorted names of the entries; empty if there is no such folder."""
+        ...
+
+    def sync_folder(self, path: str) -> None:
+        """Flushes the folder's entries to disk."""
+        ...
 
 
 class RealFileSystem:
-    """This machine's."""
+    """File system of the operating system."""
 
     def open(self, path: str, create: bool = False) -> int:
         return os.open(path, os.O_RDWR | os.O_CLOEXEC | (os.O_CREAT if create else 0), 0o644)
@@ -54,13 +90,13 @@
         os.unlink(path)
 
     def make_folder(self, path: str) -> None:
-        made, here = [], os.path.abspath(path)
-        while not os.path.isdir(here):
-            made.append(here)
-            here = os.path.dirname(here)
+        missing, folder = [], os.path.abspath(path)
+        while not os.path.isdir(folder):
+            missing.append(folder)
+            folder = os.path.dirname(folder)
         os.makedirs(path, exist_ok=True)
-        for one in made:
-            self.sync_folder(os.path.dirname(one))
+        for created in missing:
+            self.sync_folder(os.path.dirname(created))
 
     def list_folder(self, path: str) -> list[str]:
         try:
--- a/stackpitch/loop/files.py
+++ b/stackpitch/loop/files.py
@@ -1,4 +1,4 @@
-"""Files as a store needs them, a method for each system call, so that tests can cut off after any of them."""
+"""Files for append-only logs: one method per system call, so that tests can inject a crash after any."""
 
 import fcntl
 import os
@@ -6,24 +6,51 @@
 
 
 class Files(Protocol):
-    """All raise OSError."""
-
-    def open(self, path: str, create: bool = False, empty: bool = False) -> int: ...  # to read and append
-    def size(self, descriptor: int) -> int: ...
-    def read(self, descriptor: int, at: int, most: int) -> bytes: ...
-    def write(
-        self, descriptor: int, data: bytes
-    ) -> int: ...  # appends; how much of it, as a system call does
-    def sync(self, descriptor: int) -> None: ...
-    def truncate(self, descriptor: int, size: int) -> None: ...
-    def close(self, descriptor: int) -> None: ...
-    def rename(self, old: str, new: str) -> None: ...
-    def sync_folder(self, path: str) -> None: ...
-    def lock(self, descriptor: int) -> bool: ...  # for as long as it is open; False: another process has it
+    """All methods raise OSError."""
+
+    def open(self, path: str, create: bool = False, empty: bool = False) -> int:
+        """Opens for reading and appending and returns a descriptor. `empty` truncates the file."""
+        ...
+
+    def size(self, descriptor: int) -> int:
+        """Size in bytes."""
+        ...
+
+    def read(self, descriptor: int, at: int, most: int) -> bytes:
+        """Reads up to `most` bytes from offset `at`."""
+        ...
+
+    def write(self, descriptor: int, data: bytes) -> int:
+        """Appends and returns the number of bytes written, which may be less than all, as with write(2)."""
+        ...
+
+    def sync(self, descriptor: int) -> None:
+        """Flushes the file's data to disk."""
+        ...
+
+    def truncate(self, descriptor: int, size: int) -> None:
+        """Sets the size."""
+        ...
+
+    def close(self, descriptor: int) -> None:
+        """Closes the descriptor and releases its lock."""
+        ...
+
+    def rename(self, old: str, new: str) -> None:
+        """Renames atomically, replacing `new`."""
+        ...
+
+    def sync_folder(self, path: str) -> None:
+        """Flushes the folder's entries to disk, so that created and renamed files survive a crash."""
+        ...
+
+    def lock(self, descriptor: int) -> bool:
+        """Takes an exclusive lock until the descriptor is closed; False if another process holds it."""
+        ...
 
 
 class RealFiles:
-    """This machine's."""
+    """Files of the operating system."""
 
     def open(self, path: str, create: bool = False, empty: bool = False) -> int:
         flags = (
--- a/stackpitch/loop/folder_watch.py
+++ b/stackpitch/loop/folder_watch.py
@@ -1,4 +1,4 @@
-"""Folders of the real world watched for changes."""
+"""Folder watches of the real world, on inotify."""
 
 import select
 from collections.abc import Sequence
@@ -26,20 +26,20 @@
 
 
 class RealWatch:
-    """An inotify descriptor on this world's epoll."""
+    """An inotify descriptor registered with the world's epoll."""
 
     def __init__(self, world: "RealWorld", inotify: INotify) -> None:
         self.world, self.inotify, self.hint = world, inotify, False
         self.waiter: Task | None = None
-        self.watches: dict[str, int] = {}  # as many as folders are aimed at
+        self.watches: dict[str, int] = {}  # watch descriptor by folder; at most those of `set_folders`
         self.interest = Interest(world, inotify.fileno(), select.EPOLLIN, self.on_event)
 
     def set_folders(self, folders: Sequence[str]) -> None:
-        for folder in [one for one in self.watches if one not in folders]:
+        for folder in [watched for watched in self.watches if watched not in folders]:
             self._drop(folder)
         for folder in folders:
-            # Added anew each time: a folder that was replaced under its name is another one, and adding one that is
-            # watched already changes nothing.
+            # Added each time: a folder replaced under the same name is a different inode, and adding a watch
+            # that exists already has no effect.
             try:
                 self.watches[folder] = self.inotify.add_watch(folder, WATCHED)
             except OSError:
@@ -49,11 +49,11 @@
         try:
             self.inotify.rm_watch(self.watches.pop(folder))
         except OSError:
-            pass  # it went with its folder
+            pass  # removed together with its folder
 
     def on_event(self, events: int) -> None:
         try:
-            self.inotify.read(timeout=0)  # what it says matters little: whoever waits looks at the files
+            self.inotify.read(timeout=0)  # the events are only hints: callers look at the files themselves
         except OSError:
             pass
         self.hint = True
@@ -74,7 +74,8 @@
         self.inotify.close()
 
 
-def watching(world: "RealWorld") -> RealWatch | None:
+def open_watch(world: "RealWorld") -> RealWatch | None:
+    """None if inotify is unavailable or its limits are reached."""
     try:
         return RealWatch(world, INotify(nonblocking=True))
     except OSError:
--- a/stackpitch/loop/real/__init__.py
+++ b/stackpitch/loop/real/__init__.py
@@ -1,4 +1,4 @@
-"""The world of this machine: epoll by edges, non-blocking sockets, the monotonic clock, signals, children."""
+"""The world on the operating system: epoll, non-blocking sockets, clock, signals, child processes."""
 
 from stackpitch.loop.real.listener import RealListener
 from stackpitch.loop.real.stream import RealStream
--- a/stackpitch/loop/real/closing.py
+++ b/stackpitch/loop/real/closing.py
@@ -4,8 +4,8 @@
 
 
 def close_socket(sock: socket.socket) -> None:
-    """The descriptor is free afterwards whatever the system says of it, as close(2) has it on Linux."""
+    """Closes a socket, ignoring errors: on Linux close(2) releases the descriptor even if it fails."""
     try:
         sock.close()
-    except OSError:  # guards whoever closes against an error that concerns nobody any more
+    except OSError:
         pass
--- a/stackpitch/loop/real/connecting.py
+++ b/stackpitch/loop/real/connecting.py
@@ -1,4 +1,4 @@
-"""Making a connection, and telling this machine's own faults from the other side's."""
+"""Outgoing connections, with local faults told apart from refusals by the remote side."""
 
 import errno
 import os
@@ -16,49 +16,54 @@
 if TYPE_CHECKING:
     from stackpitch.loop.real.world import RealWorld
 
-IN_THE_MAKING = (errno.EINPROGRESS, errno.EINTR)  # one that was interrupted comes about all the same
-ANSWERS = (errno.ECONNREFUSED, errno.ECONNRESET, errno.ETIMEDOUT)  # at once, and yet the other side's
-FIRST_PAUSE, LONGEST_PAUSE = 10, 160  # tenths of a millisecond after a fault of this machine
+# The connection is being established; one interrupted by a signal continues all the same.
+IN_PROGRESS = (errno.EINPROGRESS, errno.EINTR)
+# Immediate errors that come from the remote side.
+REMOTE_ERRORS = (errno.ECONNREFUSED, errno.ECONNRESET, errno.ETIMEDOUT)
+# Delay before a retry after a local fault, doubled up to the maximum; tenths of a millisecond.
+MIN_RETRY_DELAY, MAX_RETRY_DELAY = 10, 160
 
 
 def connect(world: "RealWorld", address: Address, limit: Time) -> Coro[RealStream]:
-    """Tries again for as long as it is this machine that can't. Raises ConnectFailed, of which LocalFault if no try
-    got so far that the other side could have answered."""
-    until, pause = world.now() + limit, FIRST_PAUSE
+    """Connects, retrying local faults until the time limit.
+
+    Raises ConnectFailed; its subclass LocalFault if no attempt got far enough for the remote side to answer.
+    """
+    until, delay = world.now() + limit, MIN_RETRY_DELAY
     while True:
         try:
             return (yield from _connect_once(world, address, until - world.now()))
         except LocalFault as fault:
             world.note_fault("connect", str(fault))
-            if world.now() + pause >= until:
+            if world.now() + delay >= until:
                 raise
-        yield from world.sleep(pause)
-        pause = min(2 * pause, LONGEST_PAUSE)
+        yield from world.sleep(delay)
+        delay = min(2 * delay, MAX_RETRY_DELAY)
 
 
 def _connect_once(world: "RealWorld", address: Address, limit: Time) -> Coro[RealStream]:
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-    except OSError as wrong:
-        raise LocalFault(reason(wrong)) from None
+    except OSError as error:
+        raise LocalFault(error_text(error)) from None
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         code = sock.connect_ex(address)
-        if code in IN_THE_MAKING:
-            yield from _come_about(world, sock, limit)
+        if code in IN_PROGRESS:
+            yield from _wait_connected(world, sock, limit)
         elif code:
-            raise (ConnectFailed if code in ANSWERS else LocalFault)(os.strerror(code))
+            raise (ConnectFailed if code in REMOTE_ERRORS else LocalFault)(os.strerror(code))
         return RealStream(world, sock, address)
-    except OSError as wrong:
+    except OSError as error:
         close_socket(sock)
-        raise LocalFault(reason(wrong)) from None
+        raise LocalFault(error_text(error)) from None
     except BaseException:
         close_socket(sock)
         raise
 
 
-def _come_about(world: "RealWorld", sock: socket.socket, limit: Time) -> Coro[None]:
-    """Waits for a connection that is in the making. Raises ConnectFailed, and OSError for what is local."""
+def _wait_connected(world: "RealWorld", sock: socket.socket, limit: Time) -> Coro[None]:
+    """Waits until the connection is established. Raises ConnectFailed, and OSError on a local fault."""
     task = world.current
     interest = Interest(world, sock.fileno(), select.EPOLLOUT, lambda events: task.wake())
     try:
@@ -73,5 +78,6 @@
     raise ConnectFailed(f"no connection in {limit / 10:.0f} ms")
 
 
-def reason(wrong: OSError) -> str:
-    return os.strerror(wrong.errno) if wrong.errno else str(wrong)
+def error_text(error: OSError) -> str:
+    """The system's message for the error number, without a file name or address."""
+    return os.strerror(error.errno) if error.errno else str(error)
--- a/stackpitch/loop/real/interest.py
+++ b/stackpitch/loop/real/interest.py
@@ -1,4 +1,4 @@
-"""What epoll is asked to tell of one descriptor."""
+"""The registration of one descriptor with epoll."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -6,44 +6,44 @@
 if TYPE_CHECKING:
     from stackpitch.loop.real.world import RealWorld
 
-TRY_AGAIN = 50  # tenths of a millisecond until a change is asked for again
+RETRY_DELAY = 50  # tenths of a millisecond before a failed change is retried
 
 
 class Interest:
-    """A descriptor's registration. Its handler is called with the events that came."""
+    """Registers a descriptor with epoll; `handler` is called with the events that occurred."""
 
     __slots__ = ("descriptor", "ended", "events", "world")
 
     def __init__(
         self, world: "RealWorld", descriptor: int, events: int, handler: Callable[[int], None]
     ) -> None:
-        """Raises OSError where the system has no room for it; then nothing stays behind."""
+        """Raises OSError if the system cannot register it; nothing is left registered then."""
         self.world, self.descriptor, self.events, self.ended = world, descriptor, events, False
         world.epoll.register(descriptor, events)
         world.handlers[descriptor] = handler
 
     def change(self, events: int) -> None:
-        """Asks for these events from now on."""
+        """Sets the events to watch for."""
         if events != self.events:
             self.events = events
-            self._tell()
+            self._apply()
 
-    def _tell(self) -> None:
-        """Guards against a system that can't for a moment: a change that is lost would be waited on for good."""
+    def _apply(self) -> None:
+        """Applies the change, retrying after an error: a task would wait forever on a lost change."""
         if self.ended:
             return
         try:
             self.world.epoll.modify(self.descriptor, self.events)
         except OSError:
-            self.world.at(self.world.now() + TRY_AGAIN, self._tell)
+            self.world.at(self.world.now() + RETRY_DELAY, self._apply)
 
     def end(self) -> None:
-        """Nothing more is told. To be called before the descriptor is closed; more than once does no harm."""
+        """Unregisters the descriptor. Must be called before it is closed; may be called more than once."""
         if self.ended:
             return
         self.ended = True
         del self.world.handlers[self.descriptor]
         try:
             self.world.epoll.unregister(self.descriptor)
-        except OSError:  # the descriptor's close does the same
+        except OSError:  # closing the descriptor removes it as well
             pass
--- a/stackpitch/loop/real/listener.py
+++ b/stackpitch/loop/real/listener.py
@@ -1,4 +1,4 @@
-"""Listening sockets of this machine."""
+"""Listening sockets."""
 
 import errno
 import select
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from stackpitch.loop.real.closing import close_socket
-from stackpitch.loop.real.connecting import reason
+from stackpitch.loop.real.connecting import error_text
 from stackpitch.loop.real.interest import Interest
 from stackpitch.loop.real.stream import RealStream
 from stackpitch.loop.task import Coro, Task
@@ -16,8 +16,8 @@
 if TYPE_CHECKING:
     from stackpitch.loop.real.world import RealWorld
 
-
-THAT_CONNECTION = frozenset(
+# Errors of accept(2) that concern the one pending connection; the next one should be tried.
+CONNECTION_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
         errno.EPROTO,
@@ -32,14 +32,16 @@
         errno.EOPNOTSUPP,
         errno.ENETUNREACH,
     }
-)  # it broke before it was taken; accept(2) says to try the next one
+)
 
 
 class RealListener:
-    """A listening TCP socket. Where the system can't, it waits a little and takes up again."""
+    """A listening TCP socket. After a system error it pauses and tries again."""
 
-    OUT_OF_DESCRIPTORS = 500  # pause, tenths of a millisecond
-    IN_A_ROW = 16  # taken without a wait, then the others get their turn, whatever knocks
+    # Pause after a lasting error, such as being out of file descriptors; tenths of a millisecond.
+    ERROR_PAUSE = 500
+    # Connections accepted without a wait before other tasks get a turn, even under a flood.
+    IN_A_ROW = 16
 
     def __init__(self, world: "RealWorld", address: Address, backlog: int) -> None:
         self.world, self.backlog = world, backlog
@@ -55,14 +57,15 @@
             close_socket(self.sock)
             raise
         self.waiter: Task | None = None
-        self.failed = 0  # calls of accept since the last that brought a connection
+        self.failed = 0  # failed calls of accept since the last success
         self.blocked, self.fillers = False, list[socket.socket]()
         self.finishing = False
-        self.row = 0
-        self.since: Time | None = (
-            world.now()
-        )  # when the first in its queue came at the earliest; None: none is known
-        self.marked, self.since_marked = world.now(), 0  # a time, and how many have been taken since
+        self.row = 0  # connections accepted without a wait
+        # Earliest time at which the first queued connection can have arrived; None if none is known to be
+        # queued.
+        self.since: Time | None = world.now()
+        # A time, and how many connections have been accepted since: see `_arrived_at`.
+        self.marked, self.since_marked = world.now(), 0
 
     def on_event(self, events: int) -> None:
         if self.since is None:
@@ -71,7 +74,7 @@
         if self.waiter is not None:
             self.waiter.wake()
         elif not self.blocked:
-            self.interest.change(0)  # nobody accepts now: no spinning on a full queue
+            self.interest.change(0)  # nobody accepts now, and a non-empty queue would make the loop spin
 
     def accept(self) -> Coro[RealStream]:
         self.row += 1
@@ -87,46 +90,50 @@
                     if self.finishing:
                         self.close()
                         raise ConnectionLost("closed here") from None
-                except OSError as wrong:
+                except OSError as error:
                     if self.sock.fileno() < 0:
                         raise ConnectionLost("closed here") from None
-                    yield from self._rest_after(wrong)
+                    yield from self._pause_after(error)
                     continue
                 else:
                     if (stream := self._stream(sock, peer)) is not None:
                         return stream
                     continue
-            yield from self._knock()
+            yield from self._wait_readable()
 
-    def _rest_after(self, wrong: OSError) -> Coro[None]:
-        """Guards the others against an error that lasts: without a pause nothing else would run meanwhile."""
-        self.world.note_fault("accept", reason(wrong))
-        own = wrong.errno in THAT_CONNECTION and self.failed < self.IN_A_ROW
+    def _pause_after(self, error: OSError) -> Coro[None]:
+        """Pauses after an error of accept: a lasting error would otherwise keep all other tasks from
+        running."""
+        self.world.note_fault("accept", error_text(error))
+        of_connection = error.errno in CONNECTION_ERRORS and self.failed < self.IN_A_ROW
         self.failed += 1
-        yield from self.world.sleep(0 if own else self.OUT_OF_DESCRIPTORS)
+        yield from self.world.sleep(0 if of_connection else self.ERROR_PAUSE)
 
     def _stream(self, sock: socket.socket, peer: Address) -> RealStream | None:
-        """None for a connection that broke as it was taken, or that the system has no room for."""
+        """Wraps an accepted socket; None if it broke meanwhile or the system could not register it."""
         self.failed = 0
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            return RealStream(self.world, sock, peer, self._came())
-        except OSError as wrong:
-            self.world.note_fault("accept", reason(wrong))
+            return RealStream(self.world, sock, peer, self._arrived_at())
+        except OSError as error:
+            self.world.note_fault("accept", error_text(error))
             close_socket(sock)
             return None
 
-    def _came(self) -> Time:
-        """When the one that was just taken came at the earliest. The queue holds no more than `backlog`: who is taken
-        after so many came after the first of them was taken."""
+    def _arrived_at(self) -> Time:
+        """Earliest time at which the connection just accepted can have arrived.
+
+        The queue holds at most `backlog` connections, so one accepted after that many others arrived after
+        the first of those was accepted.
+        """
         self.since_marked += 1
         if self.since_marked > self.backlog:
             self.since, self.marked, self.since_marked = self.marked, self.world.now(), 0
         return self.world.polled_at if self.since is None else self.since
 
-    def _knock(self) -> Coro[None]:
-        """Waits until somebody may be there."""
+    def _wait_readable(self) -> Coro[None]:
+        """Waits until a connection may be queued."""
         self.row = 0
         self.waiter = self.world.current
         if not self.blocked:
@@ -137,7 +144,8 @@
             self.waiter = None
 
     def block_connections(self, on: bool) -> None:
-        """Fills the accept queue with connections of our own, so that the kernel drops others' first packets."""
+        """Fills the accept queue with local connections, so that the kernel drops other clients' SYN
+        packets."""
         if on and not self.blocked:
             self.blocked = True
             self.interest.change(0)
@@ -157,8 +165,8 @@
                 self.waiter.wake()
 
     def finish(self) -> None:
-        """Guards against the resets that a plain close sends to connections still in the kernel's queue, whose clients
-        may have written their requests already."""
+        """Stops accepting once the kernel's queue is empty: closing the socket at once would reset queued
+        connections, whose clients may have sent their requests already."""
         self.finishing = True
         if self.waiter is not None:
             self.waiter.wake()
--- a/stackpitch/loop/real/stream.py
+++ b/stackpitch/loop/real/stream.py
@@ -1,4 +1,4 @@
-"""Connected sockets of this machine."""
+"""Connected TCP sockets."""
 
 import errno
 import os
@@ -18,44 +18,45 @@
 if TYPE_CHECKING:
     from stackpitch.loop.real.world import RealWorld
 
-NUMBER = struct.Struct("i")
-BROKEN_EVENTS = select.EPOLLHUP | select.EPOLLERR  # both directions have ended; every call returns at once
+INT = struct.Struct("i")
+BROKEN_EVENTS = select.EPOLLHUP | select.EPOLLERR  # both directions have ended; no call blocks any more
 IN_EVENTS = select.EPOLLIN | select.EPOLLRDHUP | BROKEN_EVENTS
 END_EVENTS = select.EPOLLRDHUP | BROKEN_EVENTS
 OUT_EVENTS = select.EPOLLOUT | BROKEN_EVENTS
 WAIT_IN = select.EPOLLIN | select.EPOLLRDHUP
 WAIT_OUT = select.EPOLLOUT
-NOT_NOW = (errno.EAGAIN, errno.ENOBUFS, errno.ENOMEM, errno.EINTR)  # the connection is as it was
+# Transient errors, which leave the connection unchanged.
+TRANSIENT = (errno.EAGAIN, errno.ENOBUFS, errno.ENOMEM, errno.EINTR)
 
 
 class RealStream:
-    """A connected TCP socket, watched by level: epoll tells of it for as long as something can be read, or taken.
+    """A connected TCP socket, registered level-triggered: epoll reports it as long as it is readable or
+    writable.
 
-    So a read or a write that was short promises nothing of the socket's buffers, and needs no further call to find
-    out. Epoll isn't asked about reading while nobody takes what has come, and from the other side's end on, or each
-    wait would end at once; and about writing only while something is buffered.
+    So a short read or write says nothing about the socket's buffers, and no further call is needed to find
+    out. Input events are not watched while nobody reads what has arrived, nor after the peer's end of stream,
+    as each poll would return at once; output events are watched only while data is buffered.
     """
 
-    IN_A_ROW = 16  # reads without a wait, then the others get their turn
+    IN_A_ROW = 16  # reads without a wait before other tasks get a turn
 
     def __init__(
         self, world: "RealWorld", sock: socket.socket, peer: Address, since: Time | None = None
     ) -> None:
-        """`since`: when it came about at the earliest, if not now. Raises OSError where the system has no room for it;
-        the socket is still the caller's then."""
+        """`since`: earliest time at which the connection can have been established, if not now. Raises
+        OSError if the system cannot register the socket, which then still belongs to the caller."""
         self.world, self.sock, self.peer = world, sock, peer
         self.eof = self.closed = self.finishing = False
-        self.broken = False  # with bytes still buffered here
-        self.readable = True  # or may be
-        self.told = False  # epoll has told of something that has not been taken whole since
+        self.broken = False  # with data still buffered
+        self.readable = True  # a read may return data
+        self.reported = False  # epoll has reported input that has not been read completely since
         self.reader: Task | None = None
         self.writer: Task | None = None
-        self.out = bytearray()
-        self.row = 0
+        self.out = bytearray()  # written and not yet sent
+        self.row = 0  # reads without a wait
         self.arrived_at = world.now() if since is None else since
-        self.since: Time | None = (
-            self.arrived_at
-        )  # when what may be read came at the earliest; None: nothing is known to be there
+        # Earliest time at which unread data can have arrived; None if none is known to be there.
+        self.since: Time | None = self.arrived_at
         self.fd = sock.fileno()
         self.interest = Interest(world, self.fd, WAIT_IN, self.on_event)
 
@@ -65,7 +66,7 @@
 
     def on_event(self, events: int) -> None:
         if events & BROKEN_EVENTS:
-            self.interest.end()  # else each wait would tell of it; from here on no call has to wait
+            self.interest.end()  # else each poll would report it; from here on no call blocks
         if events & IN_EVENTS:
             self._on_input(bool(events & END_EVENTS))
         if events & OUT_EVENTS:
@@ -73,9 +74,9 @@
 
     def _on_input(self, ended: bool) -> None:
         self.eof = self.eof or ended
-        if self.eof or self.told:
+        if self.eof or self.reported:
             self.interest.change(self.interest.events & ~WAIT_IN)
-        self.readable = self.told = True
+        self.readable = self.reported = True
         if self.since is None:
             self.since = self.world.earliest_event
         if self.reader is not None:
@@ -84,7 +85,7 @@
     def _on_output(self) -> None:
         if self.out:
             try:
-                self._push()
+                self._flush()
             except ConnectionLost:
                 # A waiting `drain` must not take the emptied buffer for bytes that were sent.
                 self.broken = True
@@ -92,9 +93,9 @@
         if self.writer is not None:
             self.writer.wake()
 
-    def _emptied(self) -> None:
-        """There is nothing more to read, as far as is known: epoll tells if there is, or when it comes."""
-        self.readable, self.told, self.since = False, False, None
+    def _mark_drained(self) -> None:
+        """Nothing more is known to be readable; epoll reports what is there or arrives."""
+        self.readable, self.reported, self.since = False, False, None
         self.interest.change(self.interest.events | WAIT_IN)
 
     def wake_on_input(self, task: Task | None) -> None:
@@ -102,31 +103,31 @@
         if task is not None and (self.readable or self.closed):
             task.wake(True)
 
-    def recv_now(self, most: int = 65536, force: bool = False) -> bytes | None:
+    def recv_now(self, max_bytes: int = 65536, force: bool = False) -> bytes | None:
         if self.closed:
             raise ConnectionLost("closed here")
         if not (self.readable or force):
             return None
         try:
-            data = self.sock.recv(most)
-        except OSError as wrong:
-            if wrong.errno not in NOT_NOW:
-                raise ConnectionLost(os.strerror(wrong.errno or 0)) from None
+            data = self.sock.recv(max_bytes)
+        except OSError as error:
+            if error.errno not in TRANSIENT:
+                raise ConnectionLost(os.strerror(error.errno or 0)) from None
             if not self.eof:
-                self._emptied()
+                self._mark_drained()
             return None
         self.arrived_at = self.world.polled_at if self.since is None else self.since
         self.eof = self.eof or not data
-        if len(data) < most and not self.eof:
-            self._emptied()
+        if len(data) < max_bytes and not self.eof:
+            self._mark_drained()
         return data
 
-    def recv(self, most: int = 65536) -> Coro[bytes]:
+    def recv(self, max_bytes: int = 65536) -> Coro[bytes]:
         self.row += 1
         if self.row > self.IN_A_ROW:
             self.row = 0
             yield from self.world.pause()
-        while (data := self.recv_now(most)) is None:
+        while (data := self.recv_now(max_bytes)) is None:
             self.row = 0
             self.reader = self.world.current
             try:
@@ -147,22 +148,22 @@
             self.interest.change(self.interest.events | WAIT_OUT)
 
     def _send(self, data: bytes | bytearray) -> int:
-        """How much of it the system takes now."""
+        """Sends what the system accepts now and returns the number of bytes."""
         try:
             return self.sock.send(data)
-        except OSError as wrong:
-            if wrong.errno in NOT_NOW:
+        except OSError as error:
+            if error.errno in TRANSIENT:
                 return 0
-            raise ConnectionLost(os.strerror(wrong.errno or 0)) from None
+            raise ConnectionLost(os.strerror(error.errno or 0)) from None
 
-    def _push(self) -> None:
-        """Hands over what the system takes now; the rest, if there is any, at its next word."""
+    def _flush(self) -> None:
+        """Sends buffered data; what remains is sent when the socket is writable again."""
         del self.out[: self._send(self.out)]
         if self.out:
             return
         self.interest.change(self.interest.events & ~WAIT_OUT)
         if self.finishing:
-            self._shut()
+            self._shutdown()
 
     def drain(self, below: int = 0) -> Coro[None]:
         while len(self.out) > below or self.broken:
@@ -173,29 +174,29 @@
                 yield
             finally:
                 self.writer = None
-            if self.closed:  # which empties the buffer
+            if self.closed:  # closing empties the buffer
                 raise ConnectionLost("closed here")
 
     def unacknowledged(self) -> int:
         if self.closed:
             return 0
         try:
-            found: int = NUMBER.unpack(ioctl(self.fd, TIOCOUTQ, NUMBER.pack(0)))[0]
-        except OSError:  # a system that does not tell
-            found = 0
-        return len(self.out) + found
+            unacked: int = INT.unpack(ioctl(self.fd, TIOCOUTQ, INT.pack(0)))[0]
+        except OSError:  # not supported
+            unacked = 0
+        return len(self.out) + unacked
 
     def finish(self) -> None:
         if not self.closed:
             self.finishing = True
             if not self.out:
-                self._shut()
+                self._shutdown()
 
-    def _shut(self) -> None:
+    def _shutdown(self) -> None:
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
-            pass  # it is gone already
+            pass  # already disconnected
 
     def close(self) -> None:
         if not self.closed:
@@ -212,5 +213,5 @@
             try:
                 self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             except OSError:
-                pass  # a plain close will do
+                pass  # falls back to a plain close
             self.close()
--- a/stackpitch/loop/real/world.py
+++ b/stackpitch/loop/real/world.py
@@ -1,4 +1,4 @@
-"""The world of this machine itself: epoll by edges, the monotonic clock, signals, children."""
+"""The world on the operating system."""
 
 import os
 import resource
@@ -16,7 +16,8 @@
 from stackpitch.loop.timers import Time
 from stackpitch.loop.world import Address, World
 
-if TYPE_CHECKING:  # imported when first used: threads, children and inotify cost a third of the loop's start
+# Imported when first used: threads, child processes and inotify take a third of the loop's import time.
+if TYPE_CHECKING:
     from stackpitch.loop.children import RealChild
     from stackpitch.loop.folder_watch import RealWatch
     from stackpitch.loop.worker_thread import WorkerThread
@@ -25,11 +26,13 @@
 
 
 class RealWorld(World):
+    """Event loop on epoll, with the system's clock, sockets, signals and child processes."""
+
     def __init__(self, seed: int = 0) -> None:
         super().__init__(seed)
-        self.worker_threads: dict[str, WorkerThread] = {}  # by queue; as many as the program has names for
+        self.worker_threads: dict[str, WorkerThread] = {}  # by queue; one for each queue name in the program
         self.epoll = select.epoll()
-        self.handlers: dict[int, Callable[[int], None]] = {}  # by descriptor; emptied by `Interest.end`
+        self.handlers: dict[int, Callable[[int], None]] = {}  # by descriptor; removed by `Interest.end`
 
     def now(self) -> Time:
         return time.monotonic_ns() // 100_000
@@ -37,7 +40,7 @@
     def wall_ms(self) -> int:
         return time.time_ns() // 1_000_000
 
-    def unique_id(self, what: str = "start") -> int:
+    def unique_id(self, purpose: str = "start") -> int:
         return int.from_bytes(os.urandom(6), "big")
 
     def max_descriptors(self) -> int:
@@ -72,8 +75,8 @@
     ) -> "tuple[RealChild, RealStream]":
         from stackpitch.loop.children import spawn_piped
 
-        child, ours = spawn_piped(self, command, errors)
-        return child, RealStream(self, ours, ("child", child.pid))
+        child, sock = spawn_piped(self, command, errors)
+        return child, RealStream(self, sock, ("child", child.pid))
 
     def run_blocking(self, call: Callable[[], T], queue: str = "") -> Coro[T]:
         worker = self.worker_threads.get(queue)
@@ -81,47 +84,47 @@
             from stackpitch.loop.worker_thread import WorkerThread
 
             worker = self.worker_threads[queue] = WorkerThread(self)
-        found: list[T] = []
-        wrong: list[Exception] = []
-        task, waits = self.current, [True]
+        results: list[T] = []
+        errors: list[Exception] = []
+        task, waiting = self.current, [True]
 
         def work() -> None:
             try:
-                found.append(call())
+                results.append(call())
             except Exception as error:
-                wrong.append(error)
+                errors.append(error)
 
         def then() -> None:
-            if waits[0]:
+            if waiting[0]:
                 task.wake()
 
         worker.submit(work, then)
         try:
-            while not found and not wrong:
+            while not results and not errors:
                 yield
         finally:
-            waits[0] = False
-        if wrong:
-            raise wrong[0]
-        return found[0]
+            waiting[0] = False
+        if errors:
+            raise errors[0]
+        return results[0]
 
     def watch(self) -> "RealWatch | None":
-        from stackpitch.loop.folder_watch import watching
+        from stackpitch.loop.folder_watch import open_watch
 
-        return watching(self)
+        return open_watch(self)
 
     def signals(self, *numbers: int) -> Callable[[], Coro[int]]:
-        ours, theirs = socket.socketpair()
-        for one in (ours, theirs):
-            one.setblocking(False)
-        signal.set_wakeup_fd(theirs.fileno(), warn_on_full_buffer=False)
+        reader, writer = socket.socketpair()
+        for sock in (reader, writer):
+            sock.setblocking(False)
+        signal.set_wakeup_fd(writer.fileno(), warn_on_full_buffer=False)
         for number in numbers:
-            signal.signal(number, lambda number, _: self.deliver(number))
-        stream = RealStream(self, ours, ("signals", 0))
+            signal.signal(number, lambda number, _: self.record_signal(number))
+        stream = RealStream(self, reader, ("signals", 0))
 
-        def next_one() -> Coro[int]:
-            assert theirs.fileno() >= 0  # the closure keeps the other end open
+        def next_signal() -> Coro[int]:
+            assert writer.fileno() >= 0  # the closure keeps the other end open
             data = yield from stream.recv(1)
             return data[0]
 
-        return next_one
+        return next_signal
--- a/stackpitch/loop/virtual/__init__.py
+++ b/stackpitch/loop/virtual/__init__.py
@@ -1,8 +1,8 @@
-"""A made-up machine: simulated clock and network, processes as groups of tasks, everything from one seed.
+"""A simulated machine: clock, network, disk and processes, deterministic for a given seed.
 
-Users of a world can't tell it from the real one. Computing takes no time here; time goes from one thing that is due to
-the next, so a minute takes as long as its work does, and the same seed gives the same order of everything. Files that a
-program opens by itself are the real ones, those of `files()` are in memory.
+Code that uses a world cannot tell it from the real one. Computation takes no simulated time; the clock jumps
+from one due event to the next, so a simulated minute takes only as long as its work, and the same seed gives
+the same order of events. Files that a program opens by itself are real; those of `files()` are in memory.
 """
 
 from stackpitch.loop.virtual.disk import Disk, VirtualFiles
--- a/stackpitch/loop/virtual/disk.py
+++ b/stackpitch/loop/virtual/disk.py
@@ -1,8 +1,8 @@
-"""Files in memory, of a made-up machine: what was not synced may be lost when the process that wrote it is killed.
+"""Simulated files in memory that may lose unsynced data when the process that wrote them is killed.
 
-A kill stands for the loss of the machine's power, which is harsher than a killed process is: of what was appended and not
-synced a part stays, from the seed; of names that were made or moved and whose folder was not synced, the first few do.
-A process that ends by itself loses nothing. Folders are all there.
+A kill simulates a power failure, which is harsher than killing a process: of appended data that was not
+synced a random part (from the seed) survives; of created or renamed files whose folder was not synced, the
+first few survive. A process that ends by itself loses nothing. All folders exist.
 """
 
 import os
@@ -12,25 +12,25 @@
 
 @dataclass(eq=False, slots=True)
 class Inode:
-    """`safe`: what a kill can't take."""
+    """A file's contents. `synced` is what survives a kill."""
 
     data: bytearray = field(default_factory=bytearray)
-    safe: bytes = b""
-    holder: "VirtualFiles | None" = None  # of its lock
-    holding: int = 0  # by which of the holder's descriptors
-
-    def lose(self, random: Random) -> None:
-        """Appended bytes stay up to some byte; a change of another kind stays or doesn't."""
-        if self.data[: len(self.safe)] == self.safe:
-            del self.data[random.randint(len(self.safe), len(self.data)) :]
+    synced: bytes = b""
+    lock_owner: "VirtualFiles | None" = None
+    lock_descriptor: int = 0  # of the lock owner
+
+    def lose_unsynced(self, random: Random) -> None:
+        """Keeps a random prefix of the appended bytes; another change survives as a whole or not at all."""
+        if self.data[: len(self.synced)] == self.synced:
+            del self.data[random.randint(len(self.synced), len(self.data)) :]
         elif random.random() < 0.5:
-            self.data = bytearray(self.safe)
-        self.safe = bytes(self.data)
+            self.data = bytearray(self.synced)
+        self.synced = bytes(self.data)
 
 
 @dataclass(slots=True)
 class Disk:
-    """One for all processes of a world. `names` is emptied by renames alone, as nothing is removed."""
+    """The disk shared by all processes of a world. `names` loses entries only by renaming."""
 
     random: Random
     names: dict[str, Inode] = field(default_factory=dict)
@@ -38,15 +38,15 @@
 
 
 class VirtualFiles:
-    """One process's. Tables: open descriptors; what is not synced (emptied by syncing, closing doesn't)."""
+    """The files of one process: its open descriptors and its unsynced changes. Syncing empties `dirty` and
+    `moves`; closing a file does not."""
 
     def __init__(self, disk: Disk) -> None:
         self.disk = disk
         self.opened: dict[int, Inode] = {}
         self.dirty: dict[Inode, None] = {}
-        self.moves: list[
-            dict[str, Inode | None]
-        ] = []  # what names stood for before each change that is not synced
+        # What the affected names referred to before each unsynced creation or rename.
+        self.moves: list[dict[str, Inode | None]] = []
 
     def _inode(self, descriptor: int) -> Inode:
         if descriptor not in self.opened:
@@ -82,7 +82,7 @@
 
     def sync(self, descriptor: int) -> None:
         inode = self._inode(descriptor)
-        inode.safe = bytes(inode.data)
+        inode.synced = bytes(inode.data)
         self.dirty.pop(inode, None)
 
     def truncate(self, descriptor: int, size: int) -> None:
@@ -92,8 +92,8 @@
 
     def close(self, descriptor: int) -> None:
         inode = self._inode(descriptor)
-        if inode.holder is self and inode.holding == descriptor:
-            inode.holder = None
+        if inode.lock_owner is self and inode.lock_descriptor == descriptor:
+            inode.lock_owner = None
         del self.opened[descriptor]
 
     def rename(self, old: str, new: str) -> None:
@@ -105,29 +105,31 @@
 
     def sync_folder(self, path: str) -> None:
         folder = os.path.abspath(path)
-        self.moves = [one for one in self.moves if any(os.path.dirname(name) != folder for name in one)]
+        self.moves = [
+            before for before in self.moves if any(os.path.dirname(name) != folder for name in before)
+        ]
 
     def lock(self, descriptor: int) -> bool:
         inode = self._inode(descriptor)
-        if inode.holder is not None and (inode.holder, inode.holding) != (self, descriptor):
+        if inode.lock_owner is not None and (inode.lock_owner, inode.lock_descriptor) != (self, descriptor):
             return False
-        inode.holder, inode.holding = self, descriptor
+        inode.lock_owner, inode.lock_descriptor = self, descriptor
         return True
 
     def end(self, killed: bool) -> None:
-        """The process is no more."""
+        """Closes everything as the process ends; a killed one loses unsynced changes."""
         for descriptor in list(self.opened):
             self.close(descriptor)
         if not killed:
             return
         random = self.disk.random
         for inode in self.dirty:
-            inode.lose(random)
+            inode.lose_unsynced(random)
         for before in reversed(self.moves[random.randint(0, len(self.moves)) :]):
-            for name, was in before.items():
-                if was is None:
+            for name, inode_before in before.items():
+                if inode_before is None:
                     self.disk.names.pop(name, None)
                 else:
-                    self.disk.names[name] = was
+                    self.disk.names[name] = inode_before
         self.dirty.clear()
         self.moves.clear()
--- a/stackpitch/loop/virtual/listener.py
+++ b/stackpitch/loop/virtual/listener.py
@@ -1,4 +1,4 @@
-"""Listening ports of a made-up machine."""
+"""Simulated listening sockets."""
 
 from collections import deque
 from typing import TYPE_CHECKING
@@ -13,6 +13,8 @@
 
 
 class VirtualListener:
+    """A simulated listening socket. `process` owns it; None: the world itself."""
+
     def __init__(
         self, world: "VirtualWorld", address: Address, backlog: int, process: Process | None
     ) -> None:
@@ -20,12 +22,11 @@
         self.queue: deque[VirtualStream] = deque()
         self.waiter: Task | None = None
         self.blocked = self.closed = self.finishing = False
-        self.connect_delay = 0  # by so much connections come about later
-        self.receive_window: int | None = (
-            None  # bytes that its connections take before they are read; None: the usual
-        )
+        self.connect_delay = 0  # added to the time that a connection takes to be established
+        # Bytes that accepted connections take in before they are read; None: `WINDOW`.
+        self.receive_window: int | None = None
         if process is not None:
-            process.things[self] = None
+            process.sockets[self] = None
 
     def accept(self) -> Coro[Stream]:
         while not self.queue or self.blocked:
@@ -55,7 +56,7 @@
             self.closed = True
             self.world.listeners.pop(self.address, None)
             if self.process is not None:
-                self.process.things.pop(self, None)
+                self.process.sockets.pop(self, None)
             for stream in self.queue:
                 stream.abort()
             if self.waiter is not None:
--- a/stackpitch/loop/virtual/process.py
+++ b/stackpitch/loop/virtual/process.py
@@ -1,8 +1,9 @@
-"""Processes of a made-up machine: groups of tasks.
+"""Simulated processes: groups of tasks.
 
-One that is killed leaves at once: its connections break, its timers never fire, and its tasks are neither resumed nor
-unwound, as nothing of a killed process runs. One that is stopped (SIGSTOP) does nothing until it is continued, then all
-that came up meanwhile at once; its part of the network goes on: connections come about, bytes arrive.
+A killed process ends at once: its connections break, its timers never fire, and its tasks are neither resumed
+nor unwound, as no code of a killed process runs. A stopped one (SIGSTOP) does nothing until it is continued,
+and then everything that became due meanwhile runs at once; its kernel goes on: connections are established
+and bytes arrive.
 """
 
 import signal as signals
@@ -19,95 +20,99 @@
 
 
 class Process:
-    """All tasks, connections and listeners that began under one command. `None` in the world: the world's own."""
+    """The tasks, connections and listeners of one started command. The world's own have the process None."""
 
     def __init__(self, world: "VirtualWorld", pid: int) -> None:
         self.world, self.pid = world, pid
-        self.ended: int | None = None
-        self.things: dict[Any, None] = {}  # open streams and listeners
-        self.tasks: dict[Task, None] = {}  # that have not ended
-        self.caught: set[int] = set()
-        self.arrived: deque[int] = deque()
-        self.delivered: dict[int, Time] = {}  # when each caught signal was sent first; as many as are caught
-        self.waiter: Task | None = None  # in `signals`
-        self.waiting: list[Task] = []  # in `wait`
+        self.exit_code: int | None = None
+        self.sockets: dict[Any, None] = {}  # open streams and listeners
+        self.tasks: dict[Task, None] = {}  # running ones
+        self.handled: set[int] = set()  # signals with a handler
+        self.arrived: deque[int] = deque()  # handled signals, until `signals` returns them
+        self.signal_times: dict[int, Time] = {}  # when each handled signal was first sent
+        self.signal_waiter: Task | None = None  # in `signals`
+        self.exit_waiters: list[Task] = []  # in `VirtualChild.wait`
         self.files: list[VirtualFiles] = []
         self.stopped = False
-        # While it is stopped; emptied when it goes on.
+        # Calls, task steps and signals that became due while the process is stopped; emptied by `resume`.
         self.due: list[Callable[[], None]] = []
         self.parked: list[tuple[Task, Any, BaseException | None]] = []
         self.pending: list[int] = []
 
     def stop(self) -> None:
+        """SIGSTOP."""
         self.stopped = True
 
-    def go_on(self) -> None:
-        """First the timers that are due, then the tasks that were woken, as a loop does that has slept too long."""
+    def resume(self) -> None:
+        """SIGCONT: runs overdue timers, then the woken tasks, as an event loop does that overslept."""
         self.stopped = False
         due, self.due = self.due, []
         parked, self.parked = self.parked, []
         for call in due:
-            self.world.acted(self, call)
+            self.world.call_as(self, call)
         self.world.ready.extend(parked)
 
     def end(self, code: int) -> None:
-        if self.ended is not None:
+        """Ends the process with this exit code; a negative one is the signal that killed it."""
+        if self.exit_code is not None:
             return
-        self.ended = code
+        self.exit_code = code
         self.due.clear()
         for task, _, _ in self.parked:
             task.ended = True
         for files in self.files:
             files.end(code < 0)
-        for thing in list(self.things):
-            thing.abort()
+        for open_socket in list(self.sockets):
+            open_socket.abort()
         for task in self.tasks:
             task.ended = True
-        self.world.left += self.tasks  # kept, as letting them go would unwind them
+        self.world.killed_tasks += self.tasks  # referenced, as garbage collection would unwind them
         self.tasks.clear()
-        for task in self.waiting:
+        for task in self.exit_waiters:
             task.wake()
 
 
 class VirtualChild:
+    """Handle of a simulated process."""
+
     def __init__(self, process: Process) -> None:
         self.process, self.pid = process, process.pid
 
     def wait(self) -> Coro[int]:
-        while self.process.ended is None:
-            self.process.waiting.append(self.process.world.current)
+        while self.process.exit_code is None:
+            self.process.exit_waiters.append(self.process.world.current)
             yield
-        return self.process.ended
+        return self.process.exit_code
 
     def code(self) -> int | None:
-        return self.process.ended
+        return self.process.exit_code
 
     def signal(self, number: int) -> None:
         process = self.process
-        if process.ended is not None:
+        if process.exit_code is not None:
             return
         if number == signals.SIGSTOP:
             process.stop()
         elif number == signals.SIGCONT:
             if process.stopped:
-                process.go_on()
+                process.resume()
                 pending, process.pending = process.pending, []
-                for one in pending:
-                    self.signal(one)
+                for pending_number in pending:
+                    self.signal(pending_number)
         elif process.stopped and number != signals.SIGKILL:
             process.pending.append(number)
-            process.delivered.setdefault(number, process.world.now())
-        elif number in process.caught:
-            process.delivered.setdefault(number, process.world.now())
+            process.signal_times.setdefault(number, process.world.now())
+        elif number in process.handled:
+            process.signal_times.setdefault(number, process.world.now())
             process.arrived.append(number)
-            if process.waiter is not None:
-                process.waiter.wake()
+            if process.signal_waiter is not None:
+                process.signal_waiter.wake()
         else:
             process.end(-number)
 
 
 class VirtualTask(Task):
-    """Of a process; one that is stopped takes no step."""
+    """A task of a simulated process; it does not run while the process is stopped."""
 
     __slots__ = ("process",)
 
--- a/stackpitch/loop/virtual/world.py
+++ b/stackpitch/loop/virtual/world.py
@@ -1,4 +1,4 @@
-"""The made-up world itself: its clock, its timers and tasks by process, what listens where."""
+"""The simulated world: its clock, its timers and tasks by process, and its listeners."""
 
 import signal as signals
 from collections import Counter
@@ -16,12 +16,16 @@
 
 T = TypeVar("T")
 Program = Callable[[Sequence[str]], Coro[Any]]
-EPOCH_MS = 1_700_000_000_000
+EPOCH_MS = 1_700_000_000_000  # wall clock at the simulated time 0
 
 
 class VirtualWorld(World):
-    """`programs`: what a command becomes; called with its words after the interpreter's. `latency`: one way, on
-    average; each connection has one of its own within a half of it. `volume`: of all its processes, else the real one."""
+    """A simulated machine.
+
+    `programs` returns the main task of a command, given its arguments. `latency` is the mean one-way network
+    latency; that of each connection differs from it by up to half. `file_system` is shared by all processes;
+    by default the real one is used.
+    """
 
     pipes = False
 
@@ -37,29 +41,30 @@
         self.latency, self.programs, self.shared_file_system = latency, programs, file_system
         self.random = self.rng("network")
         self.listeners: dict[Address, VirtualListener] = {}
-        self.processes: dict[Task, Process] = {}  # emptied as tasks end
-        self.left: list[Task] = []  # of killed processes; bounded by what they had under way
-        self.acting: Process | None = None  # whose timer comes up now
+        self.processes: dict[Task, Process] = {}  # by task; entries leave as tasks end
+        self.killed_tasks: list[Task] = []  # of killed processes; emptied by `close`
+        self.timer_process: Process | None = None  # whose timer is being called
         self.disk = Disk(self.rng("disk"))
         self.next_port, self.next_pid = 40_000, 100
-        self.starts: Counter[str] = Counter()  # by what a fresh number is for: as many as the program has
+        self.ids_drawn: Counter[str] = Counter()  # by purpose: one entry for each in the program
 
     def close(self) -> None:
-        """Lets go of what killed processes left, once nobody looks any more: unwinding it does harm to nobody now."""
+        """Unwinds the tasks of killed processes. For the end of the simulation, when that has no effects."""
         self.closing = True
-        for task in self.left:
+        for task in self.killed_tasks:
             self.current_or_none = task
             try:
                 task.coro.close()
-            except BaseException:  # it expects a world that goes on
+            except BaseException:  # its cleanup expects a running world
                 pass
-        self.left.clear()
+        self.killed_tasks.clear()
         self.current_or_none = None
 
     @property
     def process(self) -> Process | None:
-        if self.acting is not None:
-            return self.acting
+        """The process that runs now; None for the world's own tasks."""
+        if self.timer_process is not None:
+            return self.timer_process
         task = self.current_or_none
         return self.processes.get(task) if task is not None else None
 
@@ -69,34 +74,35 @@
     def wall_ms(self) -> int:
         return EPOCH_MS + self.time // 10
 
-    def unique_id(self, what: str = "start") -> int:
-        self.starts[what] += 1
-        return self.rng(f"{what} {self.starts[what]}").getrandbits(48)
+    def unique_id(self, purpose: str = "start") -> int:
+        self.ids_drawn[purpose] += 1
+        return self.rng(f"{purpose} {self.ids_drawn[purpose]}").getrandbits(48)
 
     def poll(self, until: Time | None) -> None:
         if until is None:
-            raise RuntimeError("nothing is due any more, and the main task waits")
+            raise RuntimeError("deadlock: nothing is due, and the main task waits")
         self.time = max(self.time, until)
 
     def at(self, when: Time, call: Callable[[], None]) -> Timer:
         process = self.process
         if process is None:
             return super().at(when, call)
-        return super().at(when, lambda: self.acted(process, call))
+        return super().at(when, lambda: self.call_as(process, call))
 
-    def acted(self, process: Process, call: Callable[[], None]) -> None:
-        """A timer's call, as its process: nothing of it once that has ended, later while it is stopped."""
+    def call_as(self, process: Process, call: Callable[[], None]) -> None:
+        """Runs a timer's call as its process: postponed while the process is stopped, dropped once it has
+        ended."""
         if process.stopped:
             process.due.append(call)
-        elif process.ended is None:
-            self.acting = process
+        elif process.exit_code is None:
+            self.timer_process = process
             try:
                 call()
             finally:
-                self.acting = None
+                self.timer_process = None
 
     def network(self, delay: Time, call: Callable[[], None]) -> None:
-        """Happens whatever becomes of who caused it."""
+        """Schedules a network event, which happens even if the process that caused it is stopped or ends."""
         self.timers.at(self.time + delay, call)
 
     def start(self, coro: Coro[Any], name: str, done: Callable[[Task], None]) -> Task:
@@ -136,16 +142,16 @@
         if listener.connect_delay:
             yield from self.sleep(listener.connect_delay)
         self.next_port += 1
-        here = VirtualStream(self, address, process, latency)
-        there = VirtualStream(self, ("127.0.0.1", self.next_port), listener.process, latency)
-        here.other, there.other = there, here
+        near = VirtualStream(self, address, process, latency)
+        far = VirtualStream(self, ("127.0.0.1", self.next_port), listener.process, latency)
+        near.other, far.other = far, near
         if listener.receive_window is not None:
-            there.window = listener.receive_window
-        listener.queue.append(there)
+            far.window = listener.receive_window
+        listener.queue.append(far)
         if listener.waiter is not None:
             listener.waiter.wake()
         yield from self.sleep(latency)
-        return here
+        return near
 
     def listen(self, address: Address, backlog: int = 1024) -> VirtualListener:
         if not address[1]:
@@ -153,11 +159,11 @@
             address = address[0], self.next_port
         if address in self.listeners:
             raise OSError(98, "Address already in use")
-        found = self.listeners[address] = VirtualListener(self, address, backlog, self.process)
-        return found
+        listener = self.listeners[address] = VirtualListener(self, address, backlog, self.process)
+        return listener
 
     def spawn_child(self, command: Sequence[str], *, output: str | None = None) -> VirtualChild:
-        assert self.programs is not None, "this world knows no programs"
+        assert self.programs is not None, "this world has no programs"
         self.next_pid += 1
         process = Process(self, self.next_pid)
         coro = self.programs(command)
@@ -176,13 +182,13 @@
     def spawn_piped(
         self, command: Sequence[str], *, errors: str | None = None
     ) -> tuple[VirtualChild, Stream]:
-        raise OSError(38, "no pipes in a made-up world")
+        raise OSError(38, "no pipes in a simulated world")
 
     def files(self) -> VirtualFiles:
-        made, process = VirtualFiles(self.disk), self.process
+        files, process = VirtualFiles(self.disk), self.process
         if process is not None:
-            process.files.append(made)
-        return made
+            process.files.append(files)
+        return files
 
     def file_system(self) -> FileSystem:
         return self.shared_file_system if self.shared_file_system is not None else super().file_system()
@@ -195,19 +201,19 @@
         return None
 
     def first_signal_time(self, numbers: Sequence[int]) -> Time | None:
-        delivered = self.process.delivered if self.process is not None else {}
-        return min((delivered[one] for one in numbers if one in delivered), default=None)
+        times = self.process.signal_times if self.process is not None else {}
+        return min((times[number] for number in numbers if number in times), default=None)
 
     def signals(self, *numbers: int) -> Callable[[], Coro[int]]:
         process = self.process
         if process is not None:
-            process.caught |= {int(number) for number in numbers if number != signals.SIGKILL}
+            process.handled |= {int(number) for number in numbers if number != signals.SIGKILL}
 
-        def next_one() -> Coro[int]:
+        def next_signal() -> Coro[int]:
             while process is None or not process.arrived:
                 if process is not None:
-                    process.waiter = self.current
+                    process.signal_waiter = self.current
                 yield
             return process.arrived.popleft()
 
-        return next_one
+        return next_signal
--- a/stackpitch/loop/wait_queue.py
+++ b/stackpitch/loop/wait_queue.py
@@ -1,4 +1,4 @@
-"""Semaphore in order of coming: whatever comes free goes to the one that has waited longest and can use it."""
+"""Fair waiting: what becomes available goes to the longest waiting task that can use it."""
 
 from collections.abc import Callable
 from typing import Generic, TypeVar
@@ -10,59 +10,67 @@
 
 
 class WaitQueue(Generic[T]):
-    """Who waits, longest first. What comes free is handed over in that same step, so that nobody who comes later, or runs
-    earlier, takes it from the one that is woken for it.
+    """Waiting tasks, longest first.
 
-    `grab` takes what is wanted in the name of whoever waits, or gives None; it must not wait, nor call this line.
+    A resource is assigned to a task in the same step in which it becomes available, so that no task that
+    arrives later, or runs earlier, can take it before the woken one runs.
+
+    `try_acquire` takes the resource on behalf of the waiting task and returns it, or None if it is not
+    available; it must neither wait nor call this queue.
     """
 
     def __init__(self) -> None:
-        self.waiting: dict[Task, Callable[[], T | None]] = {}  # emptied as they get it or are cancelled
-        self.handed: dict[Task, T] = {}  # until its task runs, in the next turn of the loop
+        self.waiting: dict[Task, Callable[[], T | None]] = {}  # emptied as tasks are served or cancelled
+        self.assigned: dict[Task, T] = {}  # until the task runs, in the loop's next turn
 
     def __len__(self) -> int:
         return len(self.waiting)
 
-    def wait(self, task: Task, grab: Callable[[], T | None], back: Callable[[T], None]) -> Coro[T]:
-        """`task`: the current one. `back` takes what was handed to a task that is cancelled before it runs: it is another's."""
-        if (found := grab()) is not None:
-            return found
-        self.waiting[task] = grab
+    def wait(
+        self, task: Task, try_acquire: Callable[[], T | None], give_back: Callable[[T], None]
+    ) -> Coro[T]:
+        """Waits for the resource. `task` is the current task; `give_back` returns what was assigned to a task
+        that is cancelled before it runs, for use by another."""
+        if (acquired := try_acquire()) is not None:
+            return acquired
+        self.waiting[task] = try_acquire
         try:
-            while task not in self.handed:
+            while task not in self.assigned:
                 yield
         except BaseException:
             self.waiting.pop(task, None)
-            if task in self.handed:
-                back(self.handed.pop(task))
+            if task in self.assigned:
+                give_back(self.assigned.pop(task))
             raise
-        return self.handed.pop(task)
+        return self.assigned.pop(task)
 
     def hand_out(self) -> None:
-        """Something came free."""
-        for task, grab in list(self.waiting.items()):
-            if (found := grab()) is not None:
+        """Serves waiting tasks; called when something has become available."""
+        for task, try_acquire in list(self.waiting.items()):
+            if (acquired := try_acquire()) is not None:
                 del self.waiting[task]
-                self.handed[task] = found
+                self.assigned[task] = acquired
                 task.wake()
 
 
 class Semaphore:
-    """`most` at once; `open` is how many are. Who took a turn gives it back, also when it is cancelled meanwhile."""
+    """Up to `limit` holders at once. Each completed `acquire` needs a `release`, also after cancellation."""
 
-    def __init__(self, world: World, most: int = 1) -> None:
-        self.world, self.most, self.in_use = world, most, 0
+    def __init__(self, world: World, limit: int = 1) -> None:
+        self.world, self.limit, self.in_use = world, limit, 0
         self.waiters: WaitQueue[bool] = WaitQueue()
 
-    def _grab(self) -> bool | None:
-        if self.in_use >= self.most:
+    def _try_acquire(self) -> bool | None:
+        if self.in_use >= self.limit:
             return None
         self.in_use += 1
         return True
 
     def acquire(self) -> Coro[None]:
-        yield from self.waiters.wait(self.world.current, self._grab, lambda _: self.release())
+        """Waits for a place, in order of arrival."""
+        yield from self.waiters.wait(self.world.current, self._try_acquire, lambda _: self.release())
 
     def release(self) -> None:
+        """Gives the place back."""
         self.in_use -= 1
         self.waiters.hand_out()
--- a/stackpitch/loop/worker_thread.py
+++ b/stackpitch/loop/worker_thread.py
@@ -1,4 +1,4 @@
-"""Calls that block, in threads of the real world."""
+"""Threads for blocking calls, for the real world."""
 
 import select
 import socket
@@ -14,31 +14,34 @@
 
 
 class WorkerThread:
-    """One thread for calls that block, and the socket by which it says that one is done."""
+    """One thread that runs blocking calls in order, and a socket pair by which it wakes the event loop."""
 
     def __init__(self, world: "RealWorld") -> None:
         self.pool = ThreadPoolExecutor(1, "aside")
-        self.done: deque[Callable[[], None]] = deque()
-        self.ours, self.theirs = socket.socketpair()
-        for one in (self.ours, self.theirs):
-            one.setblocking(False)
-        Interest(world, self.ours.fileno(), select.EPOLLIN, self.on_event)
+        self.done: deque[Callable[[], None]] = deque()  # completion callbacks; emptied by `on_event`
+        self.wakeup_reader, self.wakeup_writer = socket.socketpair()
+        for sock in (self.wakeup_reader, self.wakeup_writer):
+            sock.setblocking(False)
+        Interest(world, self.wakeup_reader.fileno(), select.EPOLLIN, self.on_event)
 
     def on_event(self, events: int) -> None:
+        """Runs the callbacks of completed calls, in the event loop's thread."""
         try:
-            self.ours.recv(4096)
+            self.wakeup_reader.recv(4096)
         except BlockingIOError:
             pass
         while self.done:
             self.done.popleft()()
 
     def submit(self, call: Callable[[], None], then: Callable[[], None]) -> None:
+        """Runs `call` in the thread, then `then` in the event loop."""
+
         def work() -> None:
             call()
             self.done.append(then)
             try:
-                self.theirs.send(b"x")
+                self.wakeup_writer.send(b"x")
             except BlockingIOError:
-                pass  # it has enough to wake up for
+                pass  # the socket is full, so the loop wakes up anyway
 
         self.pool.submit(work)
