--- a/stackpitch/durable/__init__.py
+++ b/stackpitch/durable/__init__.py
@@ -1,1 +1,1 @@
-"""Files that a crash at any byte leaves whole: what the store of lists and the voters' promises share."""
+"""Crash-safe log files, used for the stored server lists and the voters' promises."""
--- a/stackpitch/durable/log.py
+++ b/stackpitch/durable/log.py
@@ -1,8 +1,8 @@
-"""An append-only log of records, each with its length and a checksum, in one file.
+"""An append-only log in one file; each record is stored with its length and a checksum.
 
-What follows the first record that is cut or wrong is dropped at the next opening. When it has grown too large it is written
-anew beside itself and renamed. All trouble with the disk is met: the log says what is wrong, keeps nothing for as long, and
-writes itself anew once it can.
+Everything from the first incomplete or damaged record on is dropped when the log is opened. A log that has
+grown too large is rewritten to a temporary file, which then replaces it. Disk errors are not raised: the log
+reports them in `error`, stores nothing while they last, and rewrites itself once the disk works again.
 """
 
 import os
@@ -12,35 +12,38 @@
 
 from stackpitch.loop import Files
 
-HEAD = struct.Struct("<HI")  # format, checksum of the magic and the format
-FRAME = struct.Struct("<II")  # length and checksum of what follows
+HEAD = struct.Struct("<HI")  # format version, checksum of the magic bytes and the version
+FRAME = struct.Struct("<II")  # length and checksum of the record that follows
 MAX_RECORD_BYTES = 64 << 20
 
 
-def header(magic: bytes, form: int) -> bytes:
-    return magic + HEAD.pack(form, crc32(magic + struct.pack("<H", form)))
+def header(magic: bytes, version: int) -> bytes:
+    """The start of a file: magic bytes, format version, checksum."""
+    return magic + HEAD.pack(version, crc32(magic + struct.pack("<H", version)))
 
 
 def frame(body: bytes) -> bytes:
+    """A record as stored: length, checksum, body."""
     return FRAME.pack(len(body), crc32(body)) + body
 
 
-def bodies(raw: bytes, at: int) -> Iterator[tuple[bytes, int]]:
-    """Whole records with the place after each; ends at the first that is not."""
-    while at + FRAME.size <= len(raw):
-        size, checksum = FRAME.unpack_from(raw, at)
-        body = raw[at + FRAME.size : at + FRAME.size + size]
+def read_records(raw: bytes, offset: int) -> Iterator[tuple[bytes, int]]:
+    """Yields each complete record and the offset after it; stops at the first incomplete or damaged one."""
+    while offset + FRAME.size <= len(raw):
+        size, checksum = FRAME.unpack_from(raw, offset)
+        body = raw[offset + FRAME.size : offset + FRAME.size + size]
         if size > MAX_RECORD_BYTES or len(body) < size or crc32(body) != checksum:
             return
-        at += FRAME.size + size
-        yield body, at
+        offset += FRAME.size + size
+        yield body, offset
 
 
 class Log:
-    """One file. `trouble` says what is wrong with it now, else it is empty; `found` what was met at opening.
+    """One log file. `error` is the current disk error, empty if there is none; `recovery_note` says what was
+    dropped or set aside when the file was opened.
 
-    `whole` gives all that is to be kept, for writing the file anew once it is over `most` bytes and twice what it was
-    after the last time. `what` names the kind of file in complaints.
+    `snapshot` returns the records that must survive. The file is rewritten from them once it is larger than
+    `max_bytes` and than twice its size after the previous rewrite. `kind` names the kind of file in messages.
     """
 
     def __init__(
@@ -48,71 +51,74 @@
         files: Files,
         path: str,
         magic: bytes,
-        form: int,
-        what: str,
+        version: int,
+        kind: str,
         snapshot: Callable[[], Iterable[bytes]],
         max_bytes: int = 8 << 20,
     ) -> None:
-        self.files, self.path, self.magic, self.form, self.what = files, path, magic, form, what
+        self.files, self.path, self.magic, self.version, self.kind = files, path, magic, version, kind
         self.snapshot, self.max_bytes = snapshot, max_bytes
         self.error, self.recovery_note = "", ""
-        self.loaded = False  # what the file holds is known; until then it is not written
+        self.loaded = False  # the file has been read; until then it is not written
         self.descriptor: int | None = None
-        self.valid_size = 0  # bytes that are known to be whole
-        self.rewritten = 0  # bytes right after the last rewriting
+        self.valid_size = 0  # bytes of the header and of complete records
+        self.rewritten_size = 0  # bytes right after the last rewrite
 
-    def open(self, take: Callable[[bytes], bool]) -> None:
-        """Reads what is there; `take` is given each record, and says whether it is of a known kind. What is no such log
-        is set aside under another name, never overwritten. A file that could not be read for now may be opened again."""
+    def open(self, on_record: Callable[[bytes], bool]) -> None:
+        """Reads the file. `on_record` gets each record and returns whether it is of a known kind.
+
+        A file that is not a log of this kind is renamed, never overwritten. After a read error the file may
+        be opened again.
+        """
         try:
             descriptor = self.files.open(self.path, create=True)
-        except OSError as wrong:
-            self._fail(wrong)
+        except OSError as error:
+            self._fail(error)
             return
         try:
             raw = self._read_all(descriptor)
-            if self._is_ours(raw):
+            if self._is_this_log(raw):
                 self.descriptor = descriptor
             else:
                 self._set_aside(raw)
                 self.files.close(descriptor)
                 raw = b""
-        except OSError as wrong:
-            self._fail(wrong)
+        except OSError as error:
+            self._fail(error)
             self._close(descriptor)
             return
         self.loaded, self.error = True, ""
-        self.valid_size = self._take_all(raw, take)
-        self._mend(raw)
+        self.valid_size = self._read_valid(raw, on_record)
+        self._repair(raw)
 
-    def _is_ours(self, raw: bytes) -> bool:
-        head = header(self.magic, self.form)
+    def _is_this_log(self, raw: bytes) -> bool:
+        head = header(self.magic, self.version)
         return raw.startswith(head[: len(raw)])
 
     def _set_aside(self, raw: bytes) -> None:
-        aside = f"{self.path}.unread"
-        self.files.rename(self.path, aside)
+        unread = f"{self.path}.unread"
+        self.files.rename(self.path, unread)
         known = raw.startswith(self.magic) and len(raw) >= len(self.magic) + 2
-        form = struct.unpack_from("<H", raw, len(self.magic))[0] if known else 0
-        what = (
-            f"of format {form}, not {self.form}"
-            if known and form != self.form
-            else f"no {self.what}, or its head is damaged"
+        version = struct.unpack_from("<H", raw, len(self.magic))[0] if known else 0
+        description = (
+            f"of format {version}, not {self.version}"
+            if known and version != self.version
+            else f"no {self.kind}, or its header is damaged"
         )
-        self.recovery_note = f"{self.path} was {what}; it is now {aside}"
+        self.recovery_note = f"{self.path} was {description}; it is now {unread}"
 
-    def _take_all(self, raw: bytes, take: Callable[[bytes], bool]) -> int:
-        """Bytes up to the first record that is not whole, or not of this format's kinds."""
-        good = min(len(raw), len(header(self.magic, self.form)))
-        for body, after in bodies(raw, good):
-            if not take(body):
+    def _read_valid(self, raw: bytes, on_record: Callable[[bytes], bool]) -> int:
+        """Returns the size of the valid part, which ends at the first damaged or unknown record."""
+        valid_size = min(len(raw), len(header(self.magic, self.version)))
+        for body, after in read_records(raw, valid_size):
+            if not on_record(body):
                 break
-            good = after
-        return good
+            valid_size = after
+        return valid_size
 
-    def _mend(self, raw: bytes) -> None:
-        """Makes the file one that can be added to. Where that fails, the next record writes it anew."""
-        head = header(self.magic, self.form)
+    def _repair(self, raw: bytes) -> None:
+        """Prepares the file for appending. If that fails, the next record rewrites it."""
+        head = header(self.magic, self.version)
         try:
             if self.descriptor is None:
                 self.descriptor = self.files.open(self.path, create=True)
@@ -120,40 +126,46 @@
                 self.files.truncate(self.descriptor, 0)
                 self._write(self.descriptor, head)
                 self.files.sync(self.descriptor)
-                self.files.sync_folder(os.path.dirname(os.path.abspath(self.path)))  # or the name may be lost
+                # Without this a crash may lose the file's name.
+                self.files.sync_folder(os.path.dirname(os.path.abspath(self.path)))
                 self.valid_size = len(head)
             elif self.valid_size < len(raw):
-                self.recovery_note = f"{self.path}: dropped {len(raw) - self.valid_size} bytes of incomplete records at the end"
+                self.recovery_note = (
+                    f"{self.path}: dropped {len(raw) - self.valid_size} incomplete bytes at the end"
+                )
                 self.files.truncate(self.descriptor, self.valid_size)
-        except OSError as wrong:
-            self._fail(wrong)
+        except OSError as error:
+            self._fail(error)
 
     def _read_all(self, descriptor: int) -> bytes:
-        parts, at, size = [], 0, self.files.size(descriptor)
-        while at < size:
-            part = self.files.read(descriptor, at, size - at)
+        parts, offset, size = [], 0, self.files.size(descriptor)
+        while offset < size:
+            part = self.files.read(descriptor, offset, size - offset)
             if not part:
                 break
             parts.append(part)
-            at += len(part)
+            offset += len(part)
         return b"".join(parts)
 
     def _write(self, descriptor: int, data: bytes) -> None:
         while data:
             data = data[self.files.write(descriptor, data) :]
 
-    def _fail(self, wrong: OSError) -> None:
-        self.error = f"{self.path}: {wrong.strerror or wrong}"
+    def _fail(self, error: OSError) -> None:
+        self.error = f"{self.path}: {error.strerror or error}"
 
     def add(self, body: bytes, sync: bool = True) -> bool:
-        """Whether it is on disk now. After trouble the file is written anew from `whole`, which has to hold what could
-        not be written. A file that could not be read is never replaced: `open` it again first."""
+        """Appends a record and returns whether it is on disk.
+
+        After an error the file is rewritten from `snapshot`, which must include the records that could not be
+        written. A file that could not be read is never replaced: `open` it again first.
+        """
         if not self.loaded:
             return False
         try:
             if self.descriptor is None or self.error:
-                self._rewrite()  # the file may hold half a record, or none of the last ones
-            elif self.valid_size > max(self.max_bytes, 2 * self.rewritten):
+                self._rewrite()  # its end may be incomplete, or the last records may be missing
+            elif self.valid_size > max(self.max_bytes, 2 * self.rewritten_size):
                 self._rewrite()
             else:
                 data = frame(body)
@@ -161,36 +173,37 @@
                 if sync:
                     self.files.sync(self.descriptor)
                 self.valid_size += len(data)
-        except OSError as wrong:
-            self._fail(wrong)
+        except OSError as error:
+            self._fail(error)
             return False
         self.error = ""
         return True
 
     def _rewrite(self) -> None:
-        beside = f"{self.path}.new"
-        fresh = self.files.open(beside, create=True, empty=True)
+        temporary = f"{self.path}.new"
+        descriptor = self.files.open(temporary, create=True, empty=True)
         try:
-            parts = [header(self.magic, self.form), *map(frame, self.snapshot())]
-            self._write(fresh, b"".join(parts))
-            self.files.sync(fresh)
-            self.files.rename(beside, self.path)
+            parts = [header(self.magic, self.version), *map(frame, self.snapshot())]
+            self._write(descriptor, b"".join(parts))
+            self.files.sync(descriptor)
+            self.files.rename(temporary, self.path)
             self.files.sync_folder(os.path.dirname(os.path.abspath(self.path)))
         except BaseException:
-            self._close(fresh)
+            self._close(descriptor)
             raise
-        old, self.descriptor, self.valid_size = self.descriptor, fresh, sum(map(len, parts))
-        self.rewritten = self.valid_size
+        old, self.descriptor, self.valid_size = self.descriptor, descriptor, sum(map(len, parts))
+        self.rewritten_size = self.valid_size
         if old is not None:
             self._close(old)
 
     def _close(self, descriptor: int) -> None:
         try:
             self.files.close(descriptor)
-        except OSError:  # it is closed all the same, and nothing on disk depends on it
+        except OSError:  # the descriptor is released all the same, and nothing on disk depends on it
             pass
 
     def close(self) -> None:
+        """Closes the file."""
         if self.descriptor is not None:
             self._close(self.descriptor)
             self.descriptor = None
--- a/stackpitch/loop/children.py
+++ b/stackpitch/loop/children.py
@@ -54,8 +54,7 @@
 def spawn_piped(
     world: "RealWorld", command: Sequence[str], errors: str | None
 ) -> tuple[RealChild, socket.socket]:
-    """Starts a child with a socket as its standard input and output; returns the other end. Raises
-    OSError."""
+    """Starts a child with a socket as its stdin and stdout; returns the other end. Raises OSError."""
     parent_end, child_end = socket.socketpair()
     sink = open(errors, "ab") if errors is not None else None  # noqa: SIM115
     try:
--- a/stackpitch/loop/real/listener.py
+++ b/stackpitch/loop/real/listener.py
@@ -41,7 +41,7 @@
     # Pause after a lasting error, such as being out of file descriptors; tenths of a millisecond.
     ERROR_PAUSE = 500
     # Connections accepted without a wait before other tasks get a turn, even under a flood.
-    IN_A_ROW = 16
+    MAX_WITHOUT_WAIT = 16
 
     def __init__(self, world: "RealWorld", address: Address, backlog: int) -> None:
         self.world, self.backlog = world, backlog
@@ -60,7 +60,7 @@
         self.failed = 0  # failed calls of accept since the last success
         self.blocked, self.fillers = False, list[socket.socket]()
         self.finishing = False
-        self.row = 0  # connections accepted without a wait
+        self.without_wait = 0  # connections accepted without a wait
         # Earliest time at which the first queued connection can have arrived; None if none is known to be
         # queued.
         self.since: Time | None = world.now()
@@ -77,9 +77,9 @@
             self.interest.change(0)  # nobody accepts now, and a non-empty queue would make the loop spin
 
     def accept(self) -> Coro[RealStream]:
-        self.row += 1
-        if self.row > self.IN_A_ROW:
-            self.row = 0
+        self.without_wait += 1
+        if self.without_wait > self.MAX_WITHOUT_WAIT:
+            self.without_wait = 0
             yield from self.world.pause()
         while True:
             if not self.blocked:
@@ -102,10 +102,9 @@
             yield from self._wait_readable()
 
     def _pause_after(self, error: OSError) -> Coro[None]:
-        """Pauses after an error of accept: a lasting error would otherwise keep all other tasks from
-        running."""
+        """Pauses after an error of accept, which otherwise, if it lasts, would starve all other tasks."""
         self.world.note_fault("accept", error_text(error))
-        of_connection = error.errno in CONNECTION_ERRORS and self.failed < self.IN_A_ROW
+        of_connection = error.errno in CONNECTION_ERRORS and self.failed < self.MAX_WITHOUT_WAIT
         self.failed += 1
         yield from self.world.sleep(0 if of_connection else self.ERROR_PAUSE)
 
@@ -134,7 +133,7 @@
 
     def _wait_readable(self) -> Coro[None]:
         """Waits until a connection may be queued."""
-        self.row = 0
+        self.without_wait = 0
         self.waiter = self.world.current
         if not self.blocked:
             self.interest.change(select.EPOLLIN)
@@ -144,8 +143,7 @@
             self.waiter = None
 
     def block_connections(self, on: bool) -> None:
-        """Fills the accept queue with local connections, so that the kernel drops other clients' SYN
-        packets."""
+        """Fills the accept queue with local connections, so that the kernel drops clients' SYN packets."""
         if on and not self.blocked:
             self.blocked = True
             self.interest.change(0)
--- a/stackpitch/loop/real/stream.py
+++ b/stackpitch/loop/real/stream.py
@@ -38,7 +38,7 @@
     as each poll would return at once; output events are watched only while data is buffered.
     """
 
-    IN_A_ROW = 16  # reads without a wait before other tasks get a turn
+    MAX_WITHOUT_WAIT = 16  # reads without a wait before other tasks get a turn
 
     def __init__(
         self, world: "RealWorld", sock: socket.socket, peer: Address, since: Time | None = None
@@ -53,7 +53,7 @@
         self.reader: Task | None = None
         self.writer: Task | None = None
         self.out = bytearray()  # written and not yet sent
-        self.row = 0  # reads without a wait
+        self.without_wait = 0  # reads without a wait
         self.arrived_at = world.now() if since is None else since
         # Earliest time at which unread data can have arrived; None if none is known to be there.
         self.since: Time | None = self.arrived_at
@@ -93,7 +93,7 @@
         if self.writer is not None:
             self.writer.wake()
 
-    def _mark_drained(self) -> None:
+    def _mark_unreadable(self) -> None:
         """Nothing more is known to be readable; epoll reports what is there or arrives."""
         self.readable, self.reported, self.since = False, False, None
         self.interest.change(self.interest.events | WAIT_IN)
@@ -114,21 +114,21 @@
             if error.errno not in TRANSIENT:
                 raise ConnectionLost(os.strerror(error.errno or 0)) from None
             if not self.eof:
-                self._mark_drained()
+                self._mark_unreadable()
             return None
         self.arrived_at = self.world.polled_at if self.since is None else self.since
         self.eof = self.eof or not data
         if len(data) < max_bytes and not self.eof:
-            self._mark_drained()
+            self._mark_unreadable()
         return data
 
     def recv(self, max_bytes: int = 65536) -> Coro[bytes]:
-        self.row += 1
-        if self.row > self.IN_A_ROW:
-            self.row = 0
+        self.without_wait += 1
+        if self.without_wait > self.MAX_WITHOUT_WAIT:
+            self.without_wait = 0
             yield from self.world.pause()
         while (data := self.recv_now(max_bytes)) is None:
-            self.row = 0
+            self.without_wait = 0
             self.reader = self.world.current
             try:
                 yield
--- a/stackpitch/loop/task.py
+++ b/stackpitch/loop/task.py
@@ -21,8 +21,7 @@
 
 
 class Cancelled(BaseException):
-    """Thrown into a waiting task. Only the cancelled scope catches it; it must not be suppressed
-    elsewhere."""
+    """Thrown into a waiting task. Only the cancelled scope may catch it."""
 
     def __init__(self, scope: "Scope") -> None:
         super().__init__()
--- a/stackpitch/loop/virtual/world.py
+++ b/stackpitch/loop/virtual/world.py
@@ -90,8 +90,7 @@
         return super().at(when, lambda: self.call_as(process, call))
 
     def call_as(self, process: Process, call: Callable[[], None]) -> None:
-        """Runs a timer's call as its process: postponed while the process is stopped, dropped once it has
-        ended."""
+        """Runs a timer's call as its process: postponed while that is stopped, dropped once it has ended."""
         if process.stopped:
             process.due.append(call)
         elif process.exit_code is None:
--- a/stackpitch/loop/world.py
+++ b/stackpitch/loop/world.py
@@ -47,8 +47,7 @@
 
     @property
     def arrived_at(self) -> Time:
-        """Earliest time at which the data last returned by `recv`, or the connection itself, can have
-        arrived."""
+        """Earliest possible arrival time of the data last received, or of the connection itself."""
         ...
 
     @property
@@ -90,8 +89,7 @@
         ...
 
     def finish(self) -> None:
-        """Closes the sending direction once everything buffered has been sent. Nothing may be written after
-        it."""
+        """Half-closes the connection once all buffered data is sent. Nothing may be written after it."""
         ...
 
 
@@ -195,8 +193,7 @@
 
     @abstractmethod
     def poll(self, until: Time | None) -> None:
-        """Waits for events until that time at the latest, and wakes the tasks concerned. None: no time
-        limit."""
+        """Waits for events until that time (None: without limit) and wakes the tasks concerned."""
 
     @abstractmethod
     def connect(self, address: Address, limit: Time) -> Coro[Stream]:
@@ -230,8 +227,7 @@
 
     @abstractmethod
     def signals(self, *numbers: int) -> Callable[[], Coro[int]]:
-        """Handles these signals from now on. The returned function waits for the next and returns its
-        number."""
+        """Handles these signals from now on; the returned function waits for the next one's number."""
 
     def record_signal(self, number: int) -> None:
         """Records the arrival of a signal, before any task runs that handles events of the same poll."""
--- a/stackpitch/membership/__init__.py
+++ b/stackpitch/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Where a gateway's view of the fleet comes from, how it changes, and what is left of it after a crash."""
+"""Server lists: how they are read and validated, which of them take effect, and how they survive a crash."""
--- a/stackpitch/membership/bundle.py
+++ b/stackpitch/membership/bundle.py
@@ -1,6 +1,7 @@
-"""All files of one configuration as one set: read together, checked together, whole or not at all.
+"""Reads and validates all files of one configuration together; they take effect together or not at all.
 
-Runs in a process of its own (`stackpitch checker`), so that neither size nor malice of a file holds up the gateway.
+Runs in a process of its own (`stackpitch checker`), so that a large or malicious file cannot block the
+gateway.
 """
 
 from collections.abc import Mapping
@@ -18,13 +19,13 @@
 from stackpitch.settings import BadSettings, Fleet, Listed, Settings, Weights, read
 from stackpitch.settings.load import check
 
-SLICE = 400
+SLICE = 400  # entries per line of the checker's answer
 
 
 class Bundle(msgspec.Struct):
-    """What was read. With `problems` nothing else counts; `unsettled`: files changed while they were read."""
+    """The files' contents, invalid if there are `problems`. `unsettled`: files changed meanwhile."""
 
-    seen: dict[str, str]  # digest of each file's bytes, "" where it can't be read
+    seen: dict[str, str]  # digest of each file's bytes, "" if it cannot be read
     problems: list[str] = []
     unsettled: bool = False
     settings: msgspec.Raw = msgspec.Raw(b"{}")
@@ -32,67 +33,73 @@
     digest: str = ""
     entries: tuple[Entry, ...] = ()
     guards: int = 0
-    more: int = 0  # lines of entries that follow this one, between processes
+    more: int = 0  # lines with entries that follow this one in the checker's answer
 
 
 def config_files(config: Path | None, settings: Settings) -> list[Path]:
-    """All that are read for these settings."""
-    found = [config] if config is not None else []
-    found.append(Path(settings.roster))
+    """All files that are read for these settings."""
+    paths = [config] if config is not None else []
+    paths.append(Path(settings.roster))
     if settings.weights:
-        found.append(Path(settings.weights))
-    return found + statement_files(settings)
+        paths.append(Path(settings.weights))
+    return paths + statement_files(settings)
 
 
 def statement_files(settings: Settings) -> list[Path]:
-    found: list[Path] = []
-    for one in settings.statements:
-        path = Path(one)
-        found += sorted(path.rglob("*.expect")) if path.is_dir() else [path]
-    return found
+    """The files with statements, including those in configured folders."""
+    paths: list[Path] = []
+    for statement in settings.statements:
+        path = Path(statement)
+        paths += sorted(path.rglob("*.expect")) if path.is_dir() else [path]
+    return paths
 
 
 def fingerprints(paths: list[Path]) -> dict[str, str]:
-    found = {}
+    """Digest of each file's bytes, "" if it cannot be read."""
+    digests = {}
     for path in paths:
         try:
-            found[str(path)] = sha256(path.read_bytes()).hexdigest()[:32]
+            digests[str(path)] = sha256(path.read_bytes()).hexdigest()[:32]
         except OSError:
-            found[str(path)] = ""
-    return found
+            digests[str(path)] = ""
+    return digests
 
 
 def build_entries(fleet: Fleet, weights: Mapping[str, float], path: str) -> tuple[Entry, ...]:
-    """Raises BadSettings on weights of servers that are not listed."""
-    names = {one.name for one in fleet.servers}
+    """Combines servers and the weights from `path`. Raises BadSettings on weights of unlisted servers."""
+    names = {server.name for server in fleet.servers}
     unknown = [name for name in weights if name not in names]
     if unknown:
         raise BadSettings(f"{path}: {', '.join(unknown[:5])}: not in the fleet's file")
     return tuple(
-        Entry(**(one.model_dump() | {"weight": weights.get(one.name, one.weight)})) for one in fleet.servers
+        Entry(**(server.model_dump() | {"weight": weights.get(server.name, server.weight)}))
+        for server in fleet.servers
     )
 
 
 def validate_fleet(fleet: Fleet, settings: Settings) -> list[str]:
-    """What is wrong with a list beyond its form."""
-    wrong, names, addresses = [], dict[str, int](), dict[tuple[str, int], str]()
-    for number, one in enumerate(fleet.servers):
+    """Problems of a list that its schema does not catch."""
+    problems, names, addresses = [], dict[str, int](), dict[tuple[str, int], str]()
+    for number, server in enumerate(fleet.servers):
         field = f"servers.{number}"
-        if one.name in names:
-            wrong.append(f"{field}.name: {one.name!r} stands in servers.{names[one.name]} already")
-        names.setdefault(one.name, number)
-        if one.kind not in settings.kinds:
-            wrong.append(f"{field}.kind: found {one.kind!r}; allowed: {', '.join(settings.kinds)}")
-        other = addresses.setdefault((one.host, one.port), one.name)
-        if other != one.name:
-            wrong.append(f"{field}: {one.host}:{one.port} is the address of {other!r} already")
+        if server.name in names:
+            problems.append(f"{field}.name: {server.name!r} stands in servers.{names[server.name]} already")
+        names.setdefault(server.name, number)
+        if server.kind not in settings.kinds:
+            problems.append(f"{field}.kind: found {server.kind!r}; allowed: {', '.join(settings.kinds)}")
+        other = addresses.setdefault((server.host, server.port), server.name)
+        if other != server.name:
+            problems.append(f"{field}: {server.host}:{server.port} is the address of {other!r} already")
     if not fleet.servers:
-        wrong.append("servers: found none; at least one is wanted")
-    return wrong
+        problems.append("servers: found none; at least one is wanted")
+    return problems
 
 
 def read_bundle(config: Path | None, given: Mapping[str, str], known: Settings | None = None) -> Bundle:
-    """Never raises for what stands in the files. Without a `config`, with the settings that are known."""
+    """Reads and validates all files. Whatever they contain, it does not raise.
+
+    Without `config` it uses the settings in `known`.
+    """
     paths, problems = [config] if config is not None else [], list[str]()
     bundle = Bundle({})
     try:
@@ -101,27 +108,27 @@
         before = fingerprints(paths)
         fleet = read(Fleet, Path(settings.roster))
         weights = read(Weights, Path(settings.weights)).root if settings.weights else {}
-        problems += [f"{settings.roster}: {one}" for one in validate_fleet(fleet, settings)]
+        problems += [f"{settings.roster}: {problem}" for problem in validate_fleet(fleet, settings)]
         entries = build_entries(fleet, weights, settings.weights)
-        told = digest(entries)
-        if fleet.digest and fleet.digest != (plain := digest(build_entries(fleet, {}, ""))):
+        content_digest = digest(entries)
+        if fleet.digest and fleet.digest != (unweighted := digest(build_entries(fleet, {}, ""))):
             problems.append(
-                f"{settings.roster}: digest: found {fleet.digest!r}; that of these servers is {plain!r}"
+                f"{settings.roster}: digest: found {fleet.digest!r}; that of these servers is {unweighted!r}"
             )
         if not problems:
-            wrong, bundle.guards = guards(settings, fleet, entries)
-            problems += wrong
+            failures, bundle.guards = check_guards(settings, fleet, entries)
+            problems += failures
         bundle.settings = msgspec.Raw(settings.model_dump_json().encode())
-        bundle.version, bundle.digest, bundle.entries = fleet.version, told, entries
+        bundle.version, bundle.digest, bundle.entries = fleet.version, content_digest, entries
         bundle.unsettled = fingerprints(paths) != before
-    except (BadSettings, BadStatement) as wrong_file:
-        problems += str(wrong_file).split("\n")
+    except (BadSettings, BadStatement) as error:
+        problems += str(error).split("\n")
     bundle.seen, bundle.problems = fingerprints(paths), problems
     return bundle
 
 
-def guards(settings: Settings, fleet: Fleet, entries: tuple[Entry, ...]) -> tuple[list[str], int]:
-    """Statements marked as guards that do not hold, and how many there are."""
+def check_guards(settings: Settings, fleet: Fleet, entries: tuple[Entry, ...]) -> tuple[list[str], int]:
+    """Evaluates the statements marked as guards: messages on those that fail, and the number of guards."""
     if not settings.statements:
         return [], 0
     book = Book([read_page(path) for path in statement_files(settings)])
@@ -130,36 +137,36 @@
         {
             "version": fleet.version,
             "servers": [
-                Listed(**{name: getattr(one, name) for name in Entry.__struct_fields__}).model_dump()
-                for one in entries
+                Listed(**{name: getattr(entry, name) for name in Entry.__struct_fields__}).model_dump()
+                for entry in entries
             ],
         },
         "list",
     )
     judge = Judge(book, deployment(settings, weighed))
-    names = [name for name, (_, one) in book.statements.items() if one.guard]
+    names = [name for name, (_, statement) in book.statements.items() if statement.guard]
     return [
-        f'{one.file}:{one.statement.line}: guard "{one.statement.name}" {one.word()}: {one.why()}'
-        for one in judge.all(names)
-        if not one.passed
+        f'{verdict.file}:{verdict.statement.line}: guard "{verdict.statement.name}" {verdict.word()}: {verdict.why()}'
+        for verdict in judge.all(names)
+        if not verdict.passed
     ], len(names)
 
 
 class ReadRequest(msgspec.Struct):
-    """A line that the checker is sent. Its answer is a bundle without its entries, then these in lines of SLICE each,
-    so that who reads it need not take all at once."""
+    """A request to the checker, one line. The answer is a line with the bundle without its entries, then
+    lines with SLICE entries each, so that the gateway can decode it in steps."""
 
     config: str
     given: dict[str, str] = {}
 
 
 def serve_lines(source: BinaryIO, sink: BinaryIO) -> None:
-    """The checker's whole life: until its gateway closes the other end."""
+    """The checker's main loop; ends when the gateway closes its end."""
     for line in source:
-        asked = msgspec.json.decode(line, type=ReadRequest)
-        bundle = read_bundle(Path(asked.config), asked.given)
+        request = msgspec.json.decode(line, type=ReadRequest)
+        bundle = read_bundle(Path(request.config), request.given)
         entries, bundle.entries = bundle.entries, ()
-        slices = [entries[at : at + SLICE] for at in range(0, len(entries), SLICE)]
+        slices = [entries[start : start + SLICE] for start in range(0, len(entries), SLICE)]
         bundle.more = len(slices)
-        sink.write(b"".join(msgspec.json.encode(one) + b"\n" for one in (bundle, *slices)))
+        sink.write(b"".join(msgspec.json.encode(part) + b"\n" for part in (bundle, *slices)))
         sink.flush()
--- a/stackpitch/membership/entries.py
+++ b/stackpitch/membership/entries.py
@@ -1,4 +1,4 @@
-"""What a list says of each server, as plain values. Pure."""
+"""Server list entries as plain values, their digest and differences. No I/O."""
 
 from collections.abc import Iterable, Mapping
 from typing import Literal
@@ -6,11 +6,17 @@
 import msgspec
 
 State = Literal["ready", "draining"]
-UNSAID = b',"vocabulary":""}'  # lists that name none keep the digests that they always had
+# Left out of the digest, so that lists without vocabularies keep the digest they had before that field
+# existed.
+EMPTY_VOCABULARY = b',"vocabulary":""}'
 
 
 class Entry(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """One server as listed. `started_unix_ms`: of its latest start; None: long ago. No work for the garbage collector."""
+    """One listed server.
+
+    `started_unix_ms` is the time of its latest start; None: long ago. `gc=False` keeps large lists out of
+    garbage collection.
+    """
 
     name: str
     host: str
@@ -21,7 +27,7 @@
     state: State = "ready"
     weight: float = 1.0
     started_unix_ms: int | None = None
-    vocabulary: str = ""  # digest of the tokenizer's contents that it runs on; empty: not said
+    vocabulary: str = ""  # digest of the contents of its tokenizer; empty: not stated
 
     @property
     def address(self) -> tuple[str, int]:
@@ -29,7 +35,7 @@
 
 
 class Proposal(msgspec.Struct, frozen=True):
-    """A source's complete list. `digest` is that of its content."""
+    """A source's complete server list, with the digest of its content."""
 
     source: str
     version: int
@@ -38,20 +44,19 @@
 
 
 def digest(entries: Iterable[Entry]) -> str:
-    """Of what the entries say, whatever the order or the form that they were written in."""
-    from hashlib import (
-        sha256,
-    )  # loads OpenSSL, which a gateway that is told its list by discovery does without
+    """Digest of the entries' content, independent of their order and of the file format."""
+    # Imported here as it loads OpenSSL, which a gateway that gets its list from discovery does not need.
+    from hashlib import sha256
 
-    told = sha256()
-    for one in sorted(entries, key=lambda one: one.name):
-        encoded = msgspec.json.encode(one)
-        told.update(encoded if one.vocabulary else encoded.removesuffix(UNSAID) + b"}")
-    return told.hexdigest()[:32]
+    hasher = sha256()
+    for entry in sorted(entries, key=lambda entry: entry.name):
+        encoded = msgspec.json.encode(entry)
+        hasher.update(encoded if entry.vocabulary else encoded.removesuffix(EMPTY_VOCABULARY) + b"}")
+    return hasher.hexdigest()[:32]
 
 
 class Change(msgspec.Struct, frozen=True):
-    """How one list differs from another."""
+    """Difference between two lists, by server name."""
 
     added: tuple[str, ...] = ()
     removed: tuple[str, ...] = ()
@@ -61,6 +66,7 @@
         return bool(self.added or self.removed or self.changed)
 
     def text(self) -> str:
+        """Summary with counts, such as "2 added, 1 changed"."""
         parts = [
             f"{len(names)} {word}"
             for word, names in (("added", self.added), ("removed", self.removed))
@@ -71,14 +77,15 @@
 
 
 def diff(old: Mapping[str, Entry], new: Mapping[str, Entry]) -> Change:
+    """Compares two lists, given by server name."""
     changed = []
     for name in sorted(old.keys() & new.keys()):
-        one, other = old[name], new[name]
-        if one != other:
+        before, after = old[name], new[name]
+        if before != after:
             fields = [
-                f"{field} {getattr(one, field)} -> {getattr(other, field)}"
+                f"{field} {getattr(before, field)} -> {getattr(after, field)}"
                 for field in Entry.__struct_fields__
-                if getattr(one, field) != getattr(other, field)
+                if getattr(before, field) != getattr(after, field)
             ]
             changed.append((name, ", ".join(fields)))
     return Change(
--- a/stackpitch/membership/store.py
+++ b/stackpitch/membership/store.py
@@ -1,4 +1,4 @@
-"""The last good lists and their history in one file that a crash at any byte leaves whole (`durable.log`)."""
+"""The server lists that took effect and their history, in a crash-safe log file (`durable.log`)."""
 
 import msgspec
 
@@ -7,11 +7,12 @@
 from stackpitch.membership.entries import Entry
 
 MAGIC, FORMAT = b"stackpitch store\n", 1
-MOST_ENTRIES = 20_000  # over all lists kept: writing them anew must stay short
+# Total over all stored lists, so that rewriting the file stays fast.
+MAX_ENTRIES = 20_000
 
 
 class AppliedList(msgspec.Struct, frozen=True, tag="kept"):
-    """A list that came into force."""
+    """A list that took effect."""
 
     at_unix_ms: int
     source: str
@@ -23,7 +24,7 @@
 
 
 class UnappliedList(msgspec.Struct, frozen=True, tag="noted"):
-    """A list that did not, or not yet: what became of it and why."""
+    """A list that did not take effect, or not yet. `word` is the outcome."""
 
     at_unix_ms: int
     source: str
@@ -34,7 +35,7 @@
 
 
 class SavedState(msgspec.Struct, frozen=True, tag="state"):
-    """What else a gateway that starts again may use, as `warmstart` judges it."""
+    """Other state for the next start of the gateway, which `warmstart` validates."""
 
     at_unix_ms: int
     data: bytes
@@ -45,15 +46,17 @@
 
 
 def header() -> bytes:
+    """The start of a store's file."""
     return log.header(MAGIC, FORMAT)
 
 
 def frame(record: Record) -> bytes:
+    """A record as stored."""
     return log.frame(ENCODER.encode(record))
 
 
 class Store:
-    """One file. Holds `lists` lists and `notes` notes."""
+    """One store file. Keeps the last `lists` applied and `notes` unapplied lists; older ones are dropped."""
 
     def __init__(
         self, files: Files, path: str, lists: int = 20, notes: int = 200, most_bytes: int = 8 << 20
@@ -62,7 +65,7 @@
         self.applied: list[AppliedList] = []
         self.unapplied: list[UnappliedList] = []
         self.state: SavedState | None = None
-        self.log = log.Log(files, path, MAGIC, FORMAT, "store", self._whole, most_bytes)
+        self.log = log.Log(files, path, MAGIC, FORMAT, "store", self._snapshot, most_bytes)
 
     @property
     def path(self) -> str:
@@ -70,12 +73,12 @@
 
     @property
     def error(self) -> str:
-        """What is wrong with the file now; else empty."""
+        """The current disk error; empty if there is none."""
         return self.log.error
 
     @property
     def recovery_note(self) -> str:
-        """What was met at opening, for the log."""
+        """What was dropped or set aside when the file was opened, for the log."""
         return self.log.recovery_note
 
     @recovery_note.setter
@@ -83,28 +86,30 @@
         self.log.recovery_note = text
 
     def open(self) -> None:
-        """Reads what is there. What can't be read is set aside under another name, never overwritten."""
-        self.log.open(self._take)
+        """Reads the file. An unreadable one is renamed, never overwritten."""
+        self.log.open(self._on_record)
 
-    def _take(self, body: bytes) -> bool:
+    def _on_record(self, body: bytes) -> bool:
         try:
             self._remember(DECODER.decode(body))
         except msgspec.DecodeError:
             return False
         return True
 
-    def _whole(self) -> list[bytes]:
+    def _snapshot(self) -> list[bytes]:
         records: list[Record] = [
             *self.unapplied,
             *self.applied,
             *([self.state] if self.state is not None else []),
         ]
-        return [ENCODER.encode(one) for one in records]
+        return [ENCODER.encode(record) for record in records]
 
     def _remember(self, record: Record) -> None:
         if isinstance(record, AppliedList):
             self.applied = [*self.applied[1 - self.lists :], record] if self.lists > 1 else [record]
-            while len(self.applied) > 2 and sum(len(one.entries) for one in self.applied) > MOST_ENTRIES:
+            while (
+                len(self.applied) > 2 and sum(len(applied.entries) for applied in self.applied) > MAX_ENTRIES
+            ):
                 del self.applied[0]
         elif isinstance(record, UnappliedList):
             self.unapplied = [*self.unapplied[1 - self.notes :], record]
@@ -112,27 +117,29 @@
             self.state = record
 
     def add(self, record: Record, sync: bool = True) -> bool:
-        """Whether it is on disk now. What could not be written is still remembered, and so is part of the next
-        rewriting."""
+        """Stores a record and returns whether it is on disk. One that could not be written stays in memory
+        and is part of the next rewrite."""
         if not self.log.loaded:
-            self._read_again()
+            self._reopen()
         self._remember(record)
         return self.log.add(ENCODER.encode(record), sync)
 
-    def _read_again(self) -> None:
-        """Guards what the file holds against a fault of the disk at its opening: it comes before what was added since."""
+    def _reopen(self) -> None:
+        """Reads the file after an earlier read error; its records go before those added since."""
         since: list[Record] = [
             *self.unapplied,
             *self.applied,
             *([self.state] if self.state is not None else []),
         ]
         self.applied, self.unapplied = [], []
-        self.log.open(self._take)
+        self.log.open(self._on_record)
         for record in since:
             self._remember(record)
 
     def close(self) -> None:
+        """Closes the file."""
         self.log.close()
 
     def last(self) -> AppliedList | None:
+        """The list that took effect last."""
         return self.applied[-1] if self.applied else None
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -153,4 +153,4 @@
         group.cancel()
 
     faulty.run(faulty.group(body))
-    assert listening.RealListener.IN_A_ROW == 16
+    assert listening.RealListener.MAX_WITHOUT_WAIT == 16
