--- a/tests/test_durable_faults.py
+++ b/tests/test_durable_faults.py
@@ -1,4 +1,5 @@
-"""Kept files under a disk that fails for a moment: what was kept stays, and what could not be written isn't said to be."""
+"""Log files on a disk with transient errors: stored records survive, and `add` never reports a lost one as
+stored."""
 
 import errno
 import os
@@ -14,7 +15,8 @@
 
 
 class FailingFiles(RealFiles):
-    """The calls that are named fail so many times; writes take a part only if they are `short`."""
+    """Named calls fail the given number of times; with `short`, reads and writes transfer only a few
+    bytes."""
 
     def __init__(self) -> None:
         self.fail: dict[str, int] = {}
@@ -63,20 +65,23 @@
 
 
 def versions(path: Path) -> list[int]:
-    """As a process that starts now finds them."""
+    """Versions in the file, as read by a newly started process."""
     store = Store(RealFiles(), str(path))
     store.open()
     store.close()
-    return [one.version for one in store.unapplied]
+    return [record.version for record in store.unapplied]
 
 
-def play(path: Path, call: str, times: int, torn: bool, short: bool) -> list[int]:
-    """Versions that were said to be on disk: one from before, some added while and after `call` fails, at the
-    opening or later."""
+def store_versions(path: Path, call: str, times: int, torn: bool, short: bool) -> list[int]:
+    """Adds one version, reopens the store while `call` fails, and adds more; returns those reported as
+    stored.
+
+    `torn` appends an incomplete record before the store is opened again.
+    """
     files = FailingFiles()
     before = Store(files, str(path))
     before.open()
-    taken = [1] if before.add(note(1)) else []
+    stored = [1] if before.add(note(1)) else []
     before.close()
     if torn:
         with open(path, "ab") as file:
@@ -84,27 +89,29 @@
     files.fail[call], files.short = times, short
     store = Store(files, str(path))
     store.open()
-    taken += [version for version in range(2, 6) if store.add(note(version))]
+    stored += [version for version in range(2, 6) if store.add(note(version))]
     store.close()
-    return taken
+    return stored
 
 
 @pytest.mark.parametrize("call", CALLS)
-def test_a_fault_of_the_disk_loses_nothing_that_was_kept(tmp_path: Path, call: str) -> None:
+def test_a_disk_error_loses_no_stored_record(tmp_path: Path, call: str) -> None:
     for times in (1, 2, 3, 9):
         for torn in (False, True):
             for short in (False, True):
                 path = tmp_path / f"{times}{torn}{short}"
-                taken = play(path, call, times, torn, short)
-                found = versions(path)
+                stored = store_versions(path, call, times, torn, short)
+                read_back = versions(path)
                 case = f"{call} fails {times} times, torn: {torn}, short: {short}"
-                assert set(taken) <= set(found), f"{case}: {taken} were taken on, {found} are there"
-                assert found == sorted(set(found)), f"{case}: in another order, or twice: {found}"
-                assert times > 3 or 5 in taken, f"{case}: nothing is kept after it"
+                assert set(stored) <= set(read_back), (
+                    f"{case}: {stored} were stored, {read_back} were read back"
+                )
+                assert read_back == sorted(set(read_back)), f"{case}: reordered or duplicated: {read_back}"
+                assert times > 3 or 5 in stored, f"{case}: nothing is stored after the errors"
 
 
-def test_after_a_failed_sync_the_file_is_written_anew(tmp_path: Path) -> None:
-    """What the failed sync covered may be gone from the system's buffers, whatever the next one says."""
+def test_after_a_failed_sync_the_file_is_rewritten(tmp_path: Path) -> None:
+    """After a failed fsync the kernel may have dropped the dirty pages, even if the next fsync succeeds."""
     files, path = FailingFiles(), str(tmp_path / "log")
     bodies: list[bytes] = []
     log = Log(files, path, b"magic", 1, "log", lambda: bodies)
--- a/tests/test_level_watch.py
+++ b/tests/test_level_watch.py
@@ -1,4 +1,5 @@
-"""Streams watched by level: a loop with nothing to do waits, whatever lies unread, and nothing that comes is missed."""
+"""Level-triggered streams: unread data or a pending end must not make the idle loop spin, and no event is
+missed."""
 
 import socket
 from collections.abc import Callable
@@ -9,8 +10,8 @@
 from stackpitch.loop import MS, ConnectionLost, Coro, RealWorld
 from stackpitch.loop.real import RealStream
 
-STILL = 100 * MS
-FEW_TURNS = 12  # of the loop, in `STILL`; one that spins makes thousands
+IDLE = 100 * MS
+MAX_POLLS = 12  # of an idle loop during `IDLE`; a spinning one makes thousands
 
 
 def pair(world: RealWorld) -> tuple[RealStream, socket.socket]:
@@ -39,7 +40,7 @@
     "attended", [False, True], ids=["nobody waits", "somebody attends and waits elsewhere"]
 )
 @pytest.mark.parametrize("what", EVENTS)
-def test_what_nobody_takes_does_not_keep_the_loop_busy(what: str, attended: bool) -> None:
+def test_unread_events_do_not_make_the_loop_spin(what: str, attended: bool) -> None:
     world = RealWorld()
 
     def main() -> Coro[None]:
@@ -48,46 +49,46 @@
         if attended:
             stream.wake_on_input(world.current)
         EVENTS[what](far)
-        for _ in range(4):  # what ends a wait early is no turn too many
-            yield from world.sleep(STILL // 4)
+        for _ in range(4):  # one early wake-up is allowed
+            yield from world.sleep(IDLE // 4)
         before = world.poll_count
-        yield from world.sleep(STILL)
-        assert world.poll_count - before <= FEW_TURNS
+        yield from world.sleep(IDLE)
+        assert world.poll_count - before <= MAX_POLLS
         stream.wake_on_input(None)
-        got = b""
+        received = b""
         try:
             while data := (yield from stream.recv(300)):
-                got += data
-                if got == b"x" * 1000 and what == "bytes":
+                received += data
+                if received == b"x" * 1000 and what == "bytes":
                     far.sendall(b"y")
-                    got += yield from stream.recv()
+                    received += yield from stream.recv()
                     break
         except ConnectionLost:
             assert "reset" in what
         if "reset" not in what:
-            assert got == b"x" * 1000 * ("bytes" in what) + b"y" * (what == "bytes")
+            assert received == b"x" * 1000 * ("bytes" in what) + b"y" * (what == "bytes")
         stream.close()
 
     world.run(main())
-    assert not world.handlers, "a closed stream's handler stays behind"
+    assert not world.handlers, "a closed stream leaves its handler behind"
 
 
-def test_a_full_socket_takes_up_again_after_short_writes(monkeypatch: pytest.MonkeyPatch) -> None:
-    world, whole = RealWorld(), b"0123456789" * 300_000
+def test_writing_continues_after_short_writes_and_a_full_socket(monkeypatch: pytest.MonkeyPatch) -> None:
+    world, payload = RealWorld(), b"0123456789" * 300_000
 
     def main() -> Coro[None]:
         stream, far = pair(world)
-        taken = stream._send
-        monkeypatch.setattr(stream, "_send", lambda data: taken(bytes(data[:70_000])))
+        send = stream._send
+        monkeypatch.setattr(stream, "_send", lambda data: send(bytes(data[:70_000])))
         far.setblocking(False)
-        stream.write(whole)
-        got = bytearray()
-        while len(got) < len(whole):
+        stream.write(payload)
+        received = bytearray()
+        while len(received) < len(payload):
             try:
-                got += far.recv(1 << 16)
+                received += far.recv(1 << 16)
             except BlockingIOError:
                 yield from world.sleep(MS)
-        assert bytes(got) == whole and not stream.buffered
+        assert bytes(received) == payload and not stream.buffered
         stream.close()
         far.close()
 
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,4 +1,5 @@
-"""The loop: scopes, groups, timers, streams, children. Each runs in a world of its own, on loopback."""
+"""The event loop on real sockets: scopes, groups, timers, streams, child processes. Each test has its own
+world."""
 
 import signal
 import sys
@@ -15,7 +16,7 @@
     return world.run(main(world))
 
 
-def test_a_limit_ends_only_its_own_block() -> None:
+def test_a_time_limit_cancels_only_its_own_block() -> None:
     def main(world: RealWorld) -> Coro[list[str]]:
         seen = []
         with world.limit(20 * MS) as outer:
@@ -30,15 +31,15 @@
 
 
 @pytest.mark.parametrize("cancels", [False, True])
-def test_a_limit_that_came_up_behind_the_token_does_not_strike_what_began(cancels: bool) -> None:
+def test_remove_limit_undoes_an_expiry_of_the_same_turn_but_not_a_cancel(cancels: bool) -> None:
     def main(world: RealWorld) -> Coro[bool]:
-        world.at(world.now() + MS, world.current.wake)  # the token, first in the turn
+        world.at(world.now() + MS, world.current.wake)  # the awaited event, first in the turn
         with world.limit(MS) as scope:
             if cancels:
-                world.at(world.now() + MS, scope.cancel)  # this one stays in force
+                world.at(world.now() + MS, scope.cancel)  # an explicit cancellation stays in effect
             until = world.now() + 3 * MS
             while world.now() < until:
-                pass  # both come due, so one turn brings both
+                pass  # until both are due, so that one turn runs both
             yield
             assert scope.expired
             scope.remove_limit()
@@ -51,21 +52,21 @@
 
 def test_every_wait_in_a_cancelled_scope_ends_at_once() -> None:
     def main(world: RealWorld) -> Coro[int]:
-        tries = 0
+        attempts = 0
         with world.limit(5 * MS):
             while True:
                 try:
                     yield from world.sleep(SECOND)
                 finally:
-                    tries += 1
-                    if tries < 3:
-                        continue  # noqa: B012 - swallows the cancellation on purpose
-        return tries
+                    attempts += 1
+                    if attempts < 3:
+                        continue  # noqa: B012 - suppresses the cancellation on purpose
+        return attempts
 
     assert run(main) == 3
 
 
-def test_a_child_ends_before_its_group_and_its_error_comes_out() -> None:
+def test_tasks_end_before_their_group_which_raises_their_error() -> None:
     ended = []
 
     def child(world: RealWorld, name: str, delay: int, error: Exception | None) -> Coro[None]:
@@ -94,7 +95,7 @@
     assert sorted(ended[:2]) == ["bad", "slow"] and ended[2:] == ["group"]
 
 
-def test_two_errors_come_out_together() -> None:
+def test_two_errors_are_raised_together() -> None:
     def fail(text: str) -> Coro[None]:
         yield from ()
         raise ValueError(text)
@@ -109,10 +110,10 @@
 
     with pytest.raises(BaseExceptionGroup) as caught:
         run(main)
-    assert {str(one) for one in caught.value.exceptions} == {"one", "two"}
+    assert {str(error) for error in caught.value.exceptions} == {"one", "two"}
 
 
-def test_an_expired_group_ends_its_children() -> None:
+def test_an_expired_limit_cancels_the_tasks_of_a_group() -> None:
     def main(world: RealWorld) -> Coro[bool]:
         def body(group: Group) -> Coro[None]:
             group.spawn(world.sleep(10 * SECOND), "long")
@@ -137,7 +138,7 @@
     assert run(main) < 1_000_000
 
 
-def test_writing_to_one_who_does_not_read_waits() -> None:
+def test_drain_waits_for_a_peer_that_does_not_read() -> None:
     def main(world: RealWorld) -> Coro[tuple[bool, int]]:
         listener = world.listen(("127.0.0.1", 0))
         near = yield from world.connect(listener.address, SECOND)
@@ -145,24 +146,24 @@
         near.write(b"x" * 20_000_000)
         with world.limit(30 * MS) as scope:
             yield from near.drain()
-        got = 0
+        received = 0
 
-        def reading() -> Coro[None]:
-            nonlocal got
-            while got < 20_000_000:
-                got += len((yield from far.recv()))
+        def read_all() -> Coro[None]:
+            nonlocal received
+            while received < 20_000_000:
+                received += len((yield from far.recv()))
 
         def body(group: Group) -> Coro[None]:
-            group.spawn(reading(), "reading")
+            group.spawn(read_all(), "reading")
             yield from near.drain()
 
         yield from world.group(body)
-        return scope.expired, got
+        return scope.expired, received
 
     assert run(main) == (True, 20_000_000)
 
 
-def test_data_and_end_that_come_together_are_both_seen() -> None:
+def test_data_and_end_of_stream_that_arrive_together_are_both_received() -> None:
     def main(world: RealWorld) -> Coro[list[bytes]]:
         listener = world.listen(("127.0.0.1", 0))
         near = yield from world.connect(listener.address, SECOND)
@@ -177,7 +178,7 @@
     assert run(main) == [b"last words", b""]
 
 
-def test_a_look_sees_what_the_system_has_not_told_yet() -> None:
+def test_a_forced_read_returns_data_that_epoll_has_not_reported_yet() -> None:
     def main(world: RealWorld) -> Coro[list[bytes | None]]:
         listener = world.listen(("127.0.0.1", 0))
         near = yield from world.connect(listener.address, SECOND)
@@ -190,7 +191,7 @@
     assert run(main) == [None, None, b"last words", b""]
 
 
-def test_a_reset_is_an_error_and_a_close_here_wakes_the_reader() -> None:
+def test_a_reset_raises_an_error_and_a_local_close_wakes_the_reader() -> None:
     def main(world: RealWorld) -> Coro[list[str]]:
         listener, seen = world.listen(("127.0.0.1", 0)), []
         for end in ("abort", "close here"):
@@ -199,34 +200,34 @@
             world.at(world.now() + 5 * MS, near.abort if end == "abort" else far.close)
             try:
                 yield from far.recv()
-            except ConnectionLost as wrong:
-                seen.append(str(wrong))
+            except ConnectionLost as error:
+                seen.append(str(error))
         return seen
 
     assert run(main) == ["Connection reset by peer", "closed here"]
 
 
-def test_connecting_fails_when_refused_and_when_nobody_accepts_in_time() -> None:
+def test_connecting_fails_if_refused_or_if_not_accepted_in_time() -> None:
     def main(world: RealWorld) -> Coro[list[str]]:
         listener, seen = world.listen(("127.0.0.1", 0)), []
-        open_before = yield from world.connect(listener.address, SECOND)
-        served = yield from listener.accept()
+        connected = yield from world.connect(listener.address, SECOND)
+        accepted = yield from listener.accept()
         listener.block_connections(True)
         begun = world.now()
         try:
             yield from world.connect(listener.address, 50 * MS)
-        except ConnectFailed as wrong:
-            seen.append(str(wrong))
+        except ConnectFailed as error:
+            seen.append(str(error))
         assert 45 * MS < world.now() - begun < SECOND
-        open_before.write(b"well")  # open connections are well meanwhile
-        seen.append((yield from served.recv()).decode())
+        connected.write(b"well")  # open connections still work
+        seen.append((yield from accepted.recv()).decode())
         listener.block_connections(False)
         (yield from world.connect(listener.address, 3 * SECOND)).close()
         listener.close()
         try:
             yield from world.connect(listener.address, SECOND)
-        except ConnectFailed as wrong:
-            seen.append(str(wrong))
+        except ConnectFailed as error:
+            seen.append(str(error))
         return seen
 
     assert run(main) == ["no connection in 50 ms", "well", "Connection refused"]
@@ -246,11 +247,11 @@
     assert run(main) == (signal.SIGUSR1, 3, -signal.SIGKILL)
 
 
-def test_a_step_that_hogs_is_noticed() -> None:
-    hogs = []
+def test_a_slow_step_is_reported() -> None:
+    slow_steps = []
 
     def main(world: RealWorld) -> Coro[None]:
-        world.on_slow_step = lambda name, spent: hogs.append((name, spent))
+        world.on_slow_step = lambda name, spent: slow_steps.append((name, spent))
         yield from world.sleep(0)
         until = world.now() + 60 * MS
         while world.now() < until:
@@ -258,30 +259,30 @@
         yield from world.sleep(0)
 
     run(main)
-    assert len(hogs) == 1 and hogs[0][0] == "main" and hogs[0][1] >= 60 * MS
+    assert len(slow_steps) == 1 and slow_steps[0][0] == "main" and slow_steps[0][1] >= 60 * MS
 
 
-def test_chance_is_by_seed_and_name() -> None:
-    first, again, other = RealWorld(3).rng("a"), RealWorld(3).rng("a"), RealWorld(3).rng("b")
+def test_random_generators_depend_on_seed_and_name() -> None:
+    first, same, other = RealWorld(3).rng("a"), RealWorld(3).rng("a"), RealWorld(3).rng("b")
     drawn = first.random()
-    assert again.random() == drawn != other.random()
+    assert same.random() == drawn != other.random()
 
 
-def test_whoever_knocks_does_not_keep_the_others_from_their_turn() -> None:
+def test_a_full_accept_queue_does_not_starve_other_tasks() -> None:
     def main(world: RealWorld) -> Coro[int]:
         def body(group: Group) -> Coro[int]:
             listener = world.listen(("127.0.0.1", 0))
-            near = []
+            clients = []
             for _ in range(120):
-                near.append((yield from world.connect(listener.address, SECOND)))
+                clients.append((yield from world.connect(listener.address, SECOND)))
             turns = [0]
 
-            def others() -> Coro[None]:
+            def other() -> Coro[None]:
                 while True:
                     turns[0] += 1
                     yield from world.sleep(0)
 
-            group.spawn(others(), "others")
+            group.spawn(other(), "others")
             for _ in range(120):
                 yield from listener.accept()
             group.cancel()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,5 @@
-"""Which lists come into force: scenes of the registrar; and what is left of them after a cut at any point."""
+"""Which server lists take effect (scenarios of the registrar), and how the store survives a crash at any
+point."""
 
 import errno
 import os
@@ -23,7 +24,8 @@
 
 
 def entry(word: str) -> Entry:
-    """`w1`, `w1-` draining, `w1@2` in cell 2, `w1*0.5` of that weight, `w1:9` at port 9, `w1^7` started at 7."""
+    """`w1`, `w1-` draining, `w1@2` in cell 2, `w1*0.5` of that weight, `w1:9` at port 9, `w1^7` started at
+    7."""
     fields = {
         "cell": 1,
         "weight": 1.0,
@@ -38,8 +40,8 @@
         ("*", "weight", float),
         ("@", "cell", int),
     ):
-        name, found, value = name.partition(mark)
-        if found:
+        name, separator, value = name.partition(mark)
+        if separator:
             fields[field] = kind(value)
     return Entry(
         name=name, host="h", kind=word[0], state="draining" if word.endswith("-") else "ready", **fields
@@ -52,14 +54,14 @@
     at 1200                                     the clock, in ms; what is due happens
     list 3 r1 w1 w2-                            a list of version 3 from the file
     other 3 w1                                  the same from a second source
-    force 3 r1 w1 | confirm 3                   asked for by somebody; the held list of that version
-    > accepted WORDS                            what became of the last one, with words of its reasons
+    force 3 r1 w1 | confirm 3                   by an operator; the held list of that version
+    > accepted WORDS                            outcome of the last step, with words of its reasons
     > fleet r1 w1 w2-                           what is in force
     > due 1500 | > due never
     """
 
     def __init__(self):
-        self.figures = {
+        self.config = {
             "step": "1",
             "step_ms": "1000",
             "persist": "5000",
@@ -67,60 +69,60 @@
             "window": "10000",
             "calm": "3000",
         }
-        self.now, self.made, self.verdict, self.digests = 0, None, None, {}
+        self.now, self.created, self.verdict, self.digests = 0, None, None, {}
 
     @property
     def registrar(self):
-        if self.made is None:
-            one = self.figures
-            self.made = Registrar(
+        if self.created is None:
+            config = self.config
+            self.created = Registrar(
                 RegistrarConfig(
-                    float(one["step"]),
-                    int(one["step_ms"]) * MS,
-                    int(one["persist"]) * MS,
-                    int(one["flaps"]),
-                    int(one["window"]) * MS,
-                    int(one["calm"]) * MS,
+                    float(config["step"]),
+                    int(config["step_ms"]) * MS,
+                    int(config["persist"]) * MS,
+                    int(config["flaps"]),
+                    int(config["window"]) * MS,
+                    int(config["calm"]) * MS,
                 ),
                 ROLES,
                 ("file", "other"),
             )
-        return self.made
+        return self.created
 
     def line(self, text):
         words = text.split()
         if words[0] == "with":
-            self.figures |= dict(word.split("=") for word in words[1:])
+            self.config |= dict(word.split("=") for word in words[1:])
         elif words[0] == "at":
             self.now = int(words[1]) * MS
             while (due := self.registrar.due()) is not None and due <= self.now:
                 self.verdict = self.registrar.tick(due) or self.verdict
-                assert self.registrar.due() != due, "it stands still"
+                assert self.registrar.due() != due, "tick makes no progress"
         elif words[0] in ("list", "other", "force"):
             entries = tuple(map(entry, words[2:]))
-            told = self.digests[words[1]] = digest(entries)
+            list_digest = self.digests[words[1]] = digest(entries)
             source = "other" if words[0] == "other" else "file"
             self.verdict = self.registrar.propose(
-                self.now, Proposal(source, int(words[1]), told, entries), words[0] == "force"
+                self.now, Proposal(source, int(words[1]), list_digest, entries), words[0] == "force"
             )
         elif words[0] == "confirm":
             self.verdict = self.registrar.confirm(self.now, self.digests.get(words[1], words[1]))
         elif words[1] == "fleet":
-            found = {
-                f"{one.name}{'-' if one.state == 'draining' else ''}"
-                for one in self.registrar.in_force.values()
+            in_force = {
+                f"{server.name}{'-' if server.state == 'draining' else ''}"
+                for server in self.registrar.in_force.values()
             }
-            assert found == set(words[2:]), sorted(found)
+            assert in_force == set(words[2:]), sorted(in_force)
         elif words[1] == "weight":
             assert self.registrar.in_force[words[2]].weight == float(words[3])
         elif words[1] == "due":
             due = self.registrar.due()
             assert ("never" if due is None else str(due // MS)) == words[2], due
         else:
-            said = f"{self.verdict.outcome} {'; '.join(self.verdict.reasons)}"
-            assert text[2:] in said or (
-                said.startswith(words[1]) and all(word in said for word in words[1:])
-            ), said
+            result = f"{self.verdict.outcome} {'; '.join(self.verdict.reasons)}"
+            assert text[2:] in result or (
+                result.startswith(words[1]) and all(word in result for word in words[1:])
+            ), result
 
 
 @pytest.mark.parametrize("lines", [lines for _, lines in ALL], ids=[title for title, _ in ALL])
@@ -129,53 +131,58 @@
     for number, line in enumerate(lines, 1):
         try:
             scene.line(line)
-        except AssertionError as wrong:
-            raise AssertionError(f"line {number}, {line!r}: {wrong}") from None
+        except AssertionError as error:
+            raise AssertionError(f"line {number}, {line!r}: {error}") from None
 
 
-def test_a_random_life_keeps_what_must_hold():
-    """Whatever comes: a server that the last accepted list drains is not ready; none is in force that no list named."""
+def test_invariants_hold_for_random_lists():
+    """A server drained by the last accepted list is not ready, and only servers that a list named are in
+    force."""
     for seed in range(300):
-        chance, named = random.Random(seed), set()
+        rng, named = random.Random(seed), set()
         registrar = Registrar(RegistrarConfig(0.34, SECOND, 5 * SECOND, 4, 10 * SECOND, 3 * SECOND), ROLES)
         now = version = 0
         for _ in range(40):
-            now += chance.randrange(1, 20_000)
-            if chance.random() < 0.6:
+            now += rng.randrange(1, 20_000)
+            if rng.random() < 0.6:
                 words = [
-                    f"{kind}{number}{chance.choice(['', '', '-'])}"
+                    f"{kind}{number}{rng.choice(['', '', '-'])}"
                     for kind in "rw"
                     for number in range(1, 6)
-                    if chance.random() < 0.8
+                    if rng.random() < 0.8
                 ]
                 entries = tuple(map(entry, words))
-                version += chance.choice((0, 1, 1, 1, -1))
+                version += rng.choice((0, 1, 1, 1, -1))
                 before = dict(registrar.in_force)
                 verdict = registrar.propose(now, Proposal("file", version, digest(entries), entries))
                 if verdict.outcome in ("accepted", "in steps"):
-                    named |= {one.name for one in entries}
-                    drained = {one.name for one in entries if one.state == "draining"}
+                    named |= {server.name for server in entries}
+                    drained = {server.name for server in entries if server.state == "draining"}
                     assert not any(registrar.in_force[name].state == "ready" for name in drained)
                 elif verdict.outcome in ("rejected", "repeated"):
                     assert registrar.in_force == before
             else:
                 registrar.tick(now)
             assert set(registrar.in_force) <= named | {
-                one.name for one in registrar.sources["file"].entries.values()
+                server.name for server in registrar.sources["file"].entries.values()
             }
-            assert any(one.kind == "w" for one in registrar.in_force.values()) or not registrar.in_force
+            assert any(server.kind == "w" for server in registrar.in_force.values()) or not registrar.in_force
             assert (due := registrar.due()) is None or due > 0
         now = 10**9
         while (due := registrar.due()) is not None:
             registrar.tick(max(due, now))
             now += 1
         target = registrar.sources["file"].entries
-        assert registrar.in_force == target, "once all is calm, what is wanted is in force"
+        assert registrar.in_force == target, "without flapping, the target is in force in the end"
 
 
-def test_what_changed_between_lists():
-    found = diff({"a": entry("w1"), "b": entry("w2")}, {"b": entry("w2*0.5"), "c": entry("w3")})
-    assert (found.added, found.removed, found.changed) == (("c",), ("a",), (("b", "weight 1.0 -> 0.5"),))
+def test_difference_between_lists():
+    changes = diff({"a": entry("w1"), "b": entry("w2")}, {"b": entry("w2*0.5"), "c": entry("w3")})
+    assert (changes.added, changes.removed, changes.changed) == (
+        ("c",),
+        ("a",),
+        (("b", "weight 1.0 -> 0.5"),),
+    )
     assert (
         digest([entry("w1"), entry("w2")])
         == digest([entry("w2"), entry("w1")])
@@ -186,22 +193,23 @@
 # The store.
 
 
-def kept(version, size=3):
+def applied_list(version, size=3):
     return AppliedList(
         0, "file", version, str(version), tuple(entry(f"w{number}") for number in range(1, size + 1))
     )
 
 
 class Cut(BaseException):
-    """The process is gone."""
+    """Simulates the end of the process."""
 
 
 class CutFiles(RealFiles):
-    """Ends the process at the nth call, or in the middle of it if that is a write; or fails calls with an error."""
+    """Ends the process at call number `cut`, in the middle of it if that is a write; or fails calls with an
+    error."""
 
     def __init__(self, cut=None, part=0.0, fail=None):
         self.cut, self.part, self.fail, self.calls, self.failing = cut, part, fail, 0, False
-        self.open_ones = []
+        self.opened = []
 
     def _call(self, name, *args):
         self.calls += 1
@@ -216,9 +224,9 @@
         return getattr(RealFiles, name)(self, *args)
 
     def open(self, *args, **named):
-        found = self._call("open", *args, *named.values())
-        self.open_ones.append(found)
-        return found
+        descriptor = self._call("open", *args, *named.values())
+        self.opened.append(descriptor)
+        return descriptor
 
     def write(self, *args):
         return self._call("write", *args)
@@ -245,19 +253,19 @@
         return self._call("size", *args)
 
 
-def life(files, path):
-    """Opening, three lists, then a rewriting; yields what is surely kept after each step."""
+def add_lists(files, path):
+    """Adds lists until the store is rewritten; yields the stored version and the one being added."""
     store = Store(files, str(path), lists=2, most_bytes=700)
     store.open()
     for version in range(2, 12):
         before = store.last()
         yield before.version if before else 0, version
-        assert store.add(kept(version))
+        assert store.add(applied_list(version))
     yield 11, 11
 
 
-def test_a_cut_at_every_system_call_leaves_the_old_or_the_new(tmp_path):
-    """And in the middle of every write, at eleven places of it. The store had one list from an earlier life."""
+def test_a_crash_at_every_system_call_leaves_the_old_or_the_new_list(tmp_path):
+    """Also in the middle of every write, at eleven places of it. The store already holds one list."""
 
     cuts, renames = 0, 0
     for part in [0.0, 0.01, 0.1, 0.2, 0.3, 0.5, 0.7, 0.8, 0.9, 0.99, 1.0]:
@@ -265,48 +273,54 @@
             path = tmp_path / f"{cut}-{part}"
             first = Store(RealFiles(), str(path))
             first.open()
-            first.add(kept(1))
+            first.add(applied_list(1))
             first.close()
             files, old, new = CutFiles(cut, part), 1, 1
             try:
-                for before, after in life(files, path):
+                for before, after in add_lists(files, path):
                     old, new = max(before, 1), after
             except Cut:
                 pass
-            for one in files.open_ones:
+            for descriptor in files.opened:
                 try:
-                    os.close(one)
+                    os.close(descriptor)
                 except OSError:
                     pass
-            again = Store(RealFiles(), str(path))
-            again.open()
-            assert again.last() is not None and again.last().version in (old, new), (cut, part)
-            assert again.last() == kept(again.last().version) and not again.error
-            assert again.add(kept(99)) and again.last().version == 99  # it goes on from there
-            again.close()
+            reopened = Store(RealFiles(), str(path))
+            reopened.open()
+            assert reopened.last() is not None and reopened.last().version in (old, new), (cut, part)
+            assert reopened.last() == applied_list(reopened.last().version) and not reopened.error
+            assert reopened.add(applied_list(99)) and reopened.last().version == 99  # it can still be written
+            reopened.close()
             cuts += 1
             renames += path.with_name(path.name + ".new").exists()
             if files.calls < cut:
                 break
-    assert cuts > 300 and renames > 20, "too few of them in the middle of a rewriting"
+    assert cuts > 300 and renames > 20, "too few crashes in the middle of a rewrite"
 
 
-def test_a_damaged_byte_anywhere_loses_no_more_than_what_follows(tmp_path):
+def test_a_damaged_byte_loses_only_the_records_from_there_on(tmp_path):
     path = tmp_path / "store"
-    raw = header() + frame(kept(1)) + frame(kept(2)) + frame(kept(3))
-    ends = [len(header()), len(header() + frame(kept(1))), len(header() + frame(kept(1)) + frame(kept(2)))]
+    raw = header() + frame(applied_list(1)) + frame(applied_list(2)) + frame(applied_list(3))
+    ends = [
+        len(header()),
+        len(header() + frame(applied_list(1))),
+        len(header() + frame(applied_list(1)) + frame(applied_list(2))),
+    ]
     for at in range(len(raw)):
         path.write_bytes(raw[:at] + bytes([raw[at] ^ 0x55]) + raw[at + 1 :])
         store = Store(RealFiles(), str(path))
         store.open()
         left = sum(end <= at for end in ends) - 1
-        assert [one.version for one in store.applied] == list(range(1, left + 1)) and store.recovery_note, at
+        assert [record.version for record in store.applied] == list(
+            range(1, left + 1)
+        ) and store.recovery_note, at
         store.close()
         (tmp_path / "store.unread").unlink(missing_ok=True)
 
 
 @pytest.mark.parametrize(
-    "content,said",
+    "content,note",
     [
         (
             header()[:17] + (FORMAT + 1).to_bytes(2, "little") + b"1234newer things",
@@ -316,71 +330,73 @@
         (b"\0" * 4096, "no store"),
     ],
 )
-def test_what_is_not_ours_is_set_aside(tmp_path, content, said):
+def test_a_file_of_another_kind_is_renamed(tmp_path, content, note):
     path = tmp_path / "store"
     path.write_bytes(content)
     store = Store(RealFiles(), str(path))
     store.open()
     assert (
-        said in store.recovery_note
+        note in store.recovery_note
         and store.last() is None
         and (tmp_path / "store.unread").read_bytes() == content
     )
-    assert store.add(kept(1))
+    assert store.add(applied_list(1))
 
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EROFS, errno.EIO])
-def test_a_full_or_failing_disk_is_said_and_mended(tmp_path, code):
+def test_a_disk_error_is_reported_and_recovered_from(tmp_path, code):
     path, files = tmp_path / "store", CutFiles(fail=code)
     store = Store(files, str(path))
     store.open()
-    assert store.add(kept(1)) and not store.error
+    assert store.add(applied_list(1)) and not store.error
     files.failing = True
-    assert not store.add(kept(2)) and os.strerror(code) in store.error
+    assert not store.add(applied_list(2)) and os.strerror(code) in store.error
     assert not store.add(UnappliedList(0, "file", 3, "3", "rejected", ("why",)))
-    again = Store(RealFiles(), str(path))
-    again.open()
-    assert again.last() == kept(1)
-    again.close()
+    reopened = Store(RealFiles(), str(path))
+    reopened.open()
+    assert reopened.last() == applied_list(1)
+    reopened.close()
     files.failing = False
-    assert store.add(kept(4)) and not store.error
-    again = Store(RealFiles(), str(path))
-    again.open()
-    assert [one.version for one in again.applied] == [1, 2, 4] and len(again.unapplied) == 1
+    assert store.add(applied_list(4)) and not store.error
+    reopened = Store(RealFiles(), str(path))
+    reopened.open()
+    assert [record.version for record in reopened.applied] == [1, 2, 4] and len(reopened.unapplied) == 1
 
 
-def test_a_folder_that_is_not_there(tmp_path):
+def test_a_missing_folder(tmp_path):
     store = Store(RealFiles(), str(tmp_path / "none" / "store"))
     store.open()
-    assert "No such file" in store.error and not store.add(kept(1)) and store.last() == kept(1)
+    assert (
+        "No such file" in store.error and not store.add(applied_list(1)) and store.last() == applied_list(1)
+    )
 
 
 WRITER = r"""
 import os, sys
 sys.path.insert(0, sys.argv[2])
-from test_membership import kept
+from test_membership import applied_list
 from stackpitch.loop import RealFiles
 from stackpitch.membership.store import Store
 store = Store(RealFiles(), sys.argv[1], lists=3, most_bytes=30_000)
 store.open()
 version = store.last().version if store.last() else 0
-os.write(1, b"begun %d\n" % version)  # whole lines: a print may be cut in two
+os.write(1, b"begun %d\n" % version)  # complete lines: print may write them in two parts
 while True:
     version += 1
-    store.add(kept(version, 40))
+    store.add(applied_list(version, 40))
     os.write(1, b"%d\n" % version)
 """
 
 
 def test_kill_in_the_middle_of_updates_200_times(tmp_path):
-    """Real processes, killed at any moment: the next one goes on from what was last said to be kept, or one further."""
-    path, chance, said = tmp_path / "store", random.Random(4), 0
+    """Processes killed at random moments: the next finds the last reported version, or the one after it."""
+    path, rng, reported = tmp_path / "store", random.Random(4), 0
     script = tmp_path / "writer.py"
     script.write_text(WRITER)
     environment = os.environ | {"PYTHONPATH": str(ROOT)}
-    for _ in range(10):  # twenty lives in a row from each process, which spares their starts
+    for _ in range(10):  # twenty forks from each process save the start-up time
         child = subprocess.Popen(
-            [sys.executable, "-c", FORKS, str(script), str(path), str(ROOT / "tests"), str(chance.random())],
+            [sys.executable, "-c", FORKS, str(script), str(path), str(ROOT / "tests"), str(rng.random())],
             stdout=subprocess.PIPE,
             env=environment,
             text=True,
@@ -388,23 +404,23 @@
         for line in child.stdout:
             word, _, number = line.strip().partition(" ")
             if word == "begun":
-                assert int(number) in (said, said + 1), (number, said)
-                said = int(number)
+                assert int(number) in (reported, reported + 1), (number, reported)
+                reported = int(number)
             elif word.isdigit():
-                said = int(word)
+                reported = int(word)
         assert child.wait() == 0
     store = Store(RealFiles(), str(path))
     store.open()
     assert (
-        store.last().version in (said, said + 1)
-        and store.last() == kept(store.last().version, 40)
-        and said > 400
+        store.last().version in (reported, reported + 1)
+        and store.last() == applied_list(store.last().version, 40)
+        and reported > 400
     )
 
 
 FORKS = """
 import os, random, signal, sys, time
-chance = random.Random(float(sys.argv[4]))
+rng = random.Random(float(sys.argv[4]))
 source = open(sys.argv[1]).read()
 sys.argv = [sys.argv[1], *sys.argv[2:]]
 code = compile(source, "writer", "exec")
@@ -414,16 +430,16 @@
     child = os.fork()
     if not child:
         exec(code)
-    time.sleep(0.004 + 0.03 * chance.random())
+    time.sleep(0.004 + 0.03 * rng.random())
     os.kill(child, signal.SIGKILL)
     os.waitpid(child, 0)
 """
 
 
-# Watching, in this process: the keeper with real files.
+# Blocking calls and folder watches in the real world.
 
 
-def test_aside_and_watch(tmp_path):
+def test_run_blocking_and_watch(tmp_path):
     world = RealWorld()
 
     def main():
@@ -434,7 +450,7 @@
         begun = world.now()
         with world.limit(20 * MS) as scope:
             yield from world.run_blocking(slow)
-        assert scope.expired and world.now() - begun < 45 * MS, "waiting for it can be given up"
+        assert scope.expired and world.now() - begun < 45 * MS, "the wait can be cancelled"
         assert (yield from world.run_blocking(slow)) == 7
         with pytest.raises(ValueError, match="no"):
             yield from world.run_blocking(lambda: int("no"))
@@ -442,7 +458,7 @@
         with world.limit(20 * MS):
             yield from world.run_blocking(slow)
         assert (yield from world.run_blocking(lambda: 8, "votes")) == 8 and world.now() - begun < 45 * MS, (
-            "another lane doesn't wait"
+            "another queue does not wait"
         )
         watch = world.watch()
         watch.set_folders([str(tmp_path), str(tmp_path / "none")])
@@ -452,7 +468,7 @@
         assert not scope.expired
         with world.limit(30 * MS) as scope:
             yield from watch.wait()
-        assert scope.expired, "a hint counts once"
+        assert scope.expired, "a hint is returned once"
         os.rename(tmp_path / "one", tmp_path / "two")
         yield from watch.wait()
         watch.close()
--- a/tests/test_short_io.py
+++ b/tests/test_short_io.py
@@ -1,5 +1,7 @@
-"""A real gateway whose system hands over and takes a few bytes at a time: a read or write that was short says
-nothing of what is left in the socket."""
+"""A gateway process whose system calls read and write only a few bytes at a time.
+
+Guards against taking a short read or write as a sign that the socket is empty or full.
+"""
 
 from pathlib import Path
 
@@ -20,14 +22,14 @@
     with RunningGateway(folder, workers, environment=shim.environment()) as gateway:
         clients = [gateway.ask() for _ in range(REQUESTS)]
         answers = [client.answer() for client in clients]
-    assert [(one.status, one.whole) for one in answers] == [(200, True)] * REQUESTS
+    assert [(answer.status, answer.whole) for answer in answers] == [(200, True)] * REQUESTS
     assert shim.injected()[Kind.SHORT_IO] > REQUESTS
 
 
 def test_requests_are_served_with_short_reads_and_writes(tmp_path: Path) -> None:
-    """Also where each call is short."""
+    """With some of the calls short, and with all of them."""
     try:
         build(tmp_path)
-    except NoCompiler as wrong:
-        pytest.skip(f"not run: {wrong}")
+    except NoCompiler as error:
+        pytest.skip(f"not run: {error}")
     side_by_side(requests_are_served, tmp_path, [200, 1000])
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -3,7 +3,7 @@
 from stackpitch.loop import Timers
 
 
-def test_cancelled_timers_do_not_pile_up() -> None:
+def test_cancelled_timers_do_not_accumulate() -> None:
     timers = Timers()
     fired: list[int] = []
     for number in range(100_000):
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -1,4 +1,4 @@
-"""The made-up world: its network behaves as the real one's does, and a day in it is the same each time."""
+"""The simulated world: its network behaves like a real one, and a scenario in it is reproducible."""
 
 import hashlib
 
@@ -49,7 +49,7 @@
     run(body)
 
 
-def test_a_reader_that_is_slow_holds_up_its_writer():
+def test_a_slow_reader_blocks_its_writer():
     def body(world, group):
         near, far = yield from pair(world, world.listen(ADDRESS))
         near.write(b"x" * (3 * WINDOW))
@@ -65,7 +65,7 @@
     run(body)
 
 
-def test_resets_and_connections_that_do_not_come_about():
+def test_resets_and_failed_connections():
     def body(world, group):
         with pytest.raises(ConnectFailed, match="refused"):
             yield from world.connect(ADDRESS, SECOND)
@@ -75,7 +75,7 @@
         near, far = yield from pair(world, listener)
         near.write(b"never read")
         yield from world.sleep(10 * MS)
-        far.close()  # with bytes unread: a reset
+        far.close()  # with unread bytes, so a reset
         with pytest.raises(ConnectionLost, match="reset"):
             yield from near.recv()
         listener.block_connections(True)
@@ -87,18 +87,18 @@
         yield from world.connect(ADDRESS, SECOND)
         yield from world.connect(ADDRESS, SECOND)
         with pytest.raises(ConnectFailed, match="no connection"):
-            yield from world.connect(ADDRESS, 300 * MS)  # its queue is full
+            yield from world.connect(ADDRESS, 300 * MS)  # the accept queue is full
         listener.close()
 
     run(body)
 
 
-def test_nothing_of_a_killed_process_runs():
+def test_no_code_of_a_killed_process_runs():
     seen = []
 
     def programs(command):
         def server():
-            world = made[0]
+            world = worlds[0]
             world.at(world.now() + 5 * SECOND, lambda: seen.append("timer"))
             listener = world.listen(ADDRESS)
             stream = yield from listener.accept()
@@ -113,10 +113,10 @@
 
         return server()
 
-    made = []
+    worlds = []
 
     def body(world, group):
-        made.append(world)
+        worlds.append(world)
         child = world.spawn_child(["server"])
         yield from world.sleep(MS)
         near = yield from world.connect(ADDRESS, SECOND)
@@ -138,12 +138,12 @@
     run(body, programs)
 
 
-def test_a_stopped_process_does_nothing_until_it_is_continued_then_all_at_once():
-    seen, made = [], []
+def test_a_stopped_process_does_nothing_until_continued_then_catches_up():
+    seen, worlds = [], []
 
     def programs(command):
         def server():
-            world = made[0]
+            world = worlds[0]
             listener = world.listen(ADDRESS)
             world.at(
                 world.now() + SECOND,
@@ -159,7 +159,7 @@
         return server()
 
     def body(world, group):
-        made.append(world)
+        worlds.append(world)
         child = world.spawn_child(["server"])
         yield from world.sleep(MS)
         near = yield from world.connect(ADDRESS, SECOND)
@@ -167,60 +167,60 @@
         child.signal(19)
         begun = world.now()
         near.write(b"while it sleeps")
-        yield from world.connect(ADDRESS, SECOND)  # its kernel takes connections
+        yield from world.connect(ADDRESS, SECOND)  # its kernel still accepts connections
         child.signal(2)
         yield from world.sleep(9 * SECOND)
         assert not seen and child.code() is None
         child.signal(18)
-        assert child.code() == -2, "what came while it was stopped strikes when it goes on"
-        again = world.spawn_child(["server"])
+        assert child.code() == -2, "a signal sent while it was stopped takes effect when it continues"
+        second = world.spawn_child(["server"])
         yield from world.sleep(MS)
         near = yield from world.connect(ADDRESS, SECOND)
         yield from world.sleep(MS)
-        again.signal(19)
+        second.signal(19)
         begun = world.now()
         near.write(b"while it sleeps")
         yield from world.sleep(9 * SECOND)
-        again.signal(18)
+        second.signal(18)
         yield from world.sleep(MS)
-        woken = begun + 9 * SECOND
-        assert seen == [(b"while it sleeps", woken), ("expired", True, woken), ("chain", woken + MS)]
-        again.signal(19)
-        again.signal(9)
-        assert (yield from again.wait()) == -9
+        resumed = begun + 9 * SECOND
+        assert seen == [(b"while it sleeps", resumed), ("expired", True, resumed), ("chain", resumed + MS)]
+        second.signal(19)
+        second.signal(9)
+        assert (yield from second.wait()) == -9
         yield from world.sleep(20 * SECOND)
         assert len(seen) == 3
 
     run(body, programs)
 
 
-def test_files_in_memory_lose_what_was_not_synced_when_their_process_is_killed():
-    """Over many kills each loss that may come does, and never one of what was synced."""
-    found = set()
+def test_a_killed_process_loses_unsynced_file_data():
+    """Over many kills every possible loss occurs, and synced data is never lost."""
+    outcomes = set()
 
     def programs(command):
         def writer():
-            files, other = made[0].files(), made[0].files()
-            one = files.open("/d/one", create=True)
-            files.write(one, b"safe")
-            files.sync(one)
+            files, other = worlds[0].files(), worlds[0].files()
+            first = files.open("/d/one", create=True)
+            files.write(first, b"safe")
+            files.sync(first)
             files.sync_folder("/d")
-            files.write(one, b"lost")
-            assert files.lock(one) and not other.lock(other.open("/d/one"))
-            two = files.open("/d/two.new", create=True)
-            files.write(two, b"two")
-            files.sync(two)
+            files.write(first, b"lost")
+            assert files.lock(first) and not other.lock(other.open("/d/one"))
+            second = files.open("/d/two.new", create=True)
+            files.write(second, b"two")
+            files.sync(second)
             files.rename("/d/two.new", "/d/two")
             if command == ["ends"]:
                 return
-            yield from made[0].sleep(SECOND)
+            yield from worlds[0].sleep(SECOND)
 
         return writer()
 
-    made = []
+    worlds = []
 
     def body(world, group):
-        made[:] = [world]
+        worlds[:] = [world]
         for _ in range(60):
             world.disk.names.clear()
             child = world.spawn_child(["killed"])
@@ -228,20 +228,20 @@
             assert child.code() is None
             child.signal(9)
             files = world.files()
-            one = files.open("/d/one")
-            assert files.lock(one), "the lock goes with its holder"
-            there = tuple(name for name in ("/d/two", "/d/two.new") if name in world.disk.names)
-            found.add((files.read(one, 0, 99), there))
+            first = files.open("/d/one")
+            assert files.lock(first), "the lock is released with its holder"
+            names = tuple(name for name in ("/d/two", "/d/two.new") if name in world.disk.names)
+            outcomes.add((files.read(first, 0, 99), names))
         world.disk.names.clear()
         assert (yield from world.spawn_child(["ends"]).wait()) == 0
         assert bytes(world.disk.names["/d/one"].data) == b"safelost" and "/d/two" in world.disk.names
 
     run(body, programs)
-    assert {data for data, _ in found} == {b"safe", b"safel", b"safelo", b"safelos", b"safelost"}
-    assert {there for _, there in found} == {(), ("/d/two",), ("/d/two.new",)}
+    assert {data for data, _ in outcomes} == {b"safe", b"safel", b"safelo", b"safelos", b"safelost"}
+    assert {names for _, names in outcomes} == {(), ("/d/two",), ("/d/two.new",)}
 
 
-def test_a_world_in_which_nothing_is_due_says_so():
+def test_a_deadlock_is_reported():
     world = VirtualWorld()
 
     def main():
@@ -268,12 +268,13 @@
     ]
 )
 def test_the_same_seed_gives_the_same_records_byte_for_byte(played):
-    """Whatever the hash seed of the interpreter, which orders its sets; and another seed gives others."""
-    one, other, another = map(records, played)
-    assert one == other and len(one) > 6
-    assert another != one
+    """Also with another hash seed, which changes the order of sets. Another world seed gives other
+    records."""
+    first, other_hash_seed, other_seed = map(records, played)
+    assert first == other_hash_seed and len(first) > 6
+    assert other_seed != first
 
 
 @plays(lambda: [seeds("days/bad-day.jsonnet", 1, 3)])
-def test_many_seeds_of_the_bad_day(played):
+def test_several_seeds_of_the_bad_day_scenario(played):
     assert played[0].exit == 0 and "3 of 3 seeds kept all rules" in played[0].printed, played[0].printed
