--- a/stackpitch/loop/real/listener.py
+++ b/stackpitch/loop/real/listener.py
@@ -102,7 +102,7 @@
             yield from self._wait_readable()
 
     def _pause_after(self, error: OSError) -> Coro[None]:
-        """Pauses after an error of accept, which otherwise, if it lasts, would starve all other tasks."""
+        """Pauses after an error of accept: retrying a lasting one at once would starve all other tasks."""
         self.world.note_fault("accept", error_text(error))
         of_connection = error.errno in CONNECTION_ERRORS and self.failed < self.MAX_WITHOUT_WAIT
         self.failed += 1
--- a/stackpitch/loop/real/world.py
+++ b/stackpitch/loop/real/world.py
@@ -44,8 +44,8 @@
         return int.from_bytes(os.urandom(6), "big")
 
     def max_descriptors(self) -> int:
-        most = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        return super().max_descriptors() if most == resource.RLIM_INFINITY else most
+        limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        return super().max_descriptors() if limit == resource.RLIM_INFINITY else limit
 
     def poll(self, until: Time | None) -> None:
         if until is None:
--- a/stackpitch/loop/virtual/process.py
+++ b/stackpitch/loop/virtual/process.py
@@ -25,11 +25,13 @@
     def __init__(self, world: "VirtualWorld", pid: int) -> None:
         self.world, self.pid = world, pid
         self.exit_code: int | None = None
-        self.sockets: dict[Any, None] = {}  # open streams and listeners
-        self.tasks: dict[Task, None] = {}  # running ones
+        self.sockets: dict[Any, None] = {}  # open streams and listeners; entries leave on close
+        self.tasks: dict[Task, None] = {}  # entries leave as tasks end
         self.handled: set[int] = set()  # signals with a handler
-        self.arrived: deque[int] = deque()  # handled signals, until `signals` returns them
-        self.signal_times: dict[int, Time] = {}  # when each handled signal was first sent
+        self.arrived: deque[int] = deque()  # handled signals; emptied as `signals` returns them
+        self.signal_times: dict[
+            int, Time
+        ] = {}  # when each handled signal was first sent; one entry per signal
         self.signal_waiter: Task | None = None  # in `signals`
         self.exit_waiters: list[Task] = []  # in `VirtualChild.wait`
         self.files: list[VirtualFiles] = []
--- a/stackpitch/membership/entries.py
+++ b/stackpitch/membership/entries.py
@@ -6,8 +6,7 @@
 import msgspec
 
 State = Literal["ready", "draining"]
-# Left out of the digest, so that lists without vocabularies keep the digest they had before that field
-# existed.
+# Left out of the digest, so that lists without vocabularies keep their digests from before that field.
 EMPTY_VOCABULARY = b',"vocabulary":""}'
 
 
--- a/tests/test_durable_faults.py
+++ b/tests/test_durable_faults.py
@@ -1,5 +1,4 @@
-"""Log files on a disk with transient errors: stored records survive, and `add` never reports a lost one as
-stored."""
+"""Log files on a disk with transient errors: a record that `add` reported as stored is never lost."""
 
 import errno
 import os
@@ -15,8 +14,7 @@
 
 
 class FailingFiles(RealFiles):
-    """Named calls fail the given number of times; with `short`, reads and writes transfer only a few
-    bytes."""
+    """Named calls fail a given number of times; `short`: reads and writes transfer only a few bytes."""
 
     def __init__(self) -> None:
         self.fail: dict[str, int] = {}
@@ -73,8 +71,7 @@
 
 
 def store_versions(path: Path, call: str, times: int, torn: bool, short: bool) -> list[int]:
-    """Adds one version, reopens the store while `call` fails, and adds more; returns those reported as
-    stored.
+    """Adds a version, reopens the store while `call` fails, adds more; returns those reported as stored.
 
     `torn` appends an incomplete record before the store is opened again.
     """
--- a/tests/test_level_watch.py
+++ b/tests/test_level_watch.py
@@ -1,5 +1,4 @@
-"""Level-triggered streams: unread data or a pending end must not make the idle loop spin, and no event is
-missed."""
+"""Level-triggered streams: unread data must not make an idle loop spin, and no event is missed."""
 
 import socket
 from collections.abc import Callable
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,5 +1,4 @@
-"""The event loop on real sockets: scopes, groups, timers, streams, child processes. Each test has its own
-world."""
+"""The event loop on real sockets: scopes, groups, timers, streams, child processes."""
 
 import signal
 import sys
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,5 +1,4 @@
-"""Which server lists take effect (scenarios of the registrar), and how the store survives a crash at any
-point."""
+"""Which server lists take effect, by scenarios, and how the store survives a crash at any point."""
 
 import errno
 import os
@@ -24,8 +23,7 @@
 
 
 def entry(word: str) -> Entry:
-    """`w1`, `w1-` draining, `w1@2` in cell 2, `w1*0.5` of that weight, `w1:9` at port 9, `w1^7` started at
-    7."""
+    """`w1`, `w1-` draining, `w1@2` cell 2, `w1*0.5` weight 0.5, `w1:9` port 9, `w1^7` started at 7."""
     fields = {
         "cell": 1,
         "weight": 1.0,
@@ -136,8 +134,7 @@
 
 
 def test_invariants_hold_for_random_lists():
-    """A server drained by the last accepted list is not ready, and only servers that a list named are in
-    force."""
+    """A server drained by the last accepted list is not ready; only servers named by a list are in force."""
     for seed in range(300):
         rng, named = random.Random(seed), set()
         registrar = Registrar(RegistrarConfig(0.34, SECOND, 5 * SECOND, 4, 10 * SECOND, 3 * SECOND), ROLES)
@@ -204,8 +201,7 @@
 
 
 class CutFiles(RealFiles):
-    """Ends the process at call number `cut`, in the middle of it if that is a write; or fails calls with an
-    error."""
+    """Ends the process at call number `cut`, a write in the middle; or fails calls with an error."""
 
     def __init__(self, cut=None, part=0.0, fail=None):
         self.cut, self.part, self.fail, self.calls, self.failing = cut, part, fail, 0, False
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -268,8 +268,7 @@
     ]
 )
 def test_the_same_seed_gives_the_same_records_byte_for_byte(played):
-    """Also with another hash seed, which changes the order of sets. Another world seed gives other
-    records."""
+    """Also with another hash seed, which reorders sets. Another world seed gives other records."""
     first, other_hash_seed, other_seed = map(records, played)
     assert first == other_hash_seed and len(first) > 6
     assert other_seed != first
