--- a/stackpitch/gateway/client_listener.py
+++ b/stackpitch/gateway/client_listener.py
@@ -116,7 +116,9 @@
                 reused = True
             self.lingering[stream] = None
             yield from self._linger(stream)
-        except ConnectionLost:  # broken by the client; the host has been told that the client of its request departed
+        except (
+            ConnectionLost
+        ):  # broken by the client; the host has been told that the client of its request departed
             self.close_reasons[Closing.BROKEN] += 1
         except Exception as error:  # a fault on one connection ends that connection alone
             self.close_reasons[Closing.INTERNAL_ERROR] += 1
@@ -333,7 +335,9 @@
         request.waiting_task = self.world.current
         try:
             while not request.answered:
-                stream.wake_on_input(None if request.extra_exceeded or request.fin_received else self.world.current)
+                stream.wake_on_input(
+                    None if request.extra_exceeded or request.fin_received else self.world.current
+                )
                 yield
                 if not request.answered and request.client_left():
                     self.host.client_departed(request)
--- a/stackpitch/gateway/host/events.py
+++ b/stackpitch/gateway/host/events.py
@@ -342,7 +342,11 @@
 
     def _forget_if_over(self, request: ClientRequest) -> None:
         """Forgets a generation that is over with no running leg; as a safeguard, releases all it may hold."""
-        if request.gen.over and not request.gen.in_flight() and self.requests.pop(request.gen, None) is not None:
+        if (
+            request.gen.over
+            and not request.gen.in_flight()
+            and self.requests.pop(request.gen, None) is not None
+        ):
             self.backend.release(request)
             self.earlier_settings.pop(request.gen, None)
             if request.watchdog is not None:
--- a/stackpitch/gateway/permission.py
+++ b/stackpitch/gateway/permission.py
@@ -115,7 +115,9 @@
     earlier = [other for other in request.legs if other is not leg]
     if any(other.outcome is None for other in earlier):
         return Reason.ANOTHER_OUT
-    if request.product.effect == "side-effecting" and any(other is not leg for other in request.may_have_run()):
+    if request.product.effect == "side-effecting" and any(
+        other is not leg for other in request.may_have_run()
+    ):
         return Reason.MAY_HAVE_RUN
     until = resend_deadline(leg)
     if until is not None and now.time >= until:
--- a/stackpitch/preferences.py
+++ b/stackpitch/preferences.py
@@ -153,7 +153,9 @@
             if rule.how == "never" or server.role in self.roles.get(rule.name, ())
         )
 
-    def narrow(self, now: Time, gen: Generation, role: Role, candidates: list[ServerState]) -> list[ServerState]:
+    def narrow(
+        self, now: Time, gen: Generation, role: Role, candidates: list[ServerState]
+    ) -> list[ServerState]:
         """The candidates that "prefer", "avoid" and weights leave; one that would leave none is ignored."""
         for rule in self.applicable(now, gen, binding=False):
             if role in self.roles.get(rule.name, ()):
@@ -207,7 +209,9 @@
         """Replaces the rules from the next decision on. Legs under way are not affected."""
         self.preferences, old = preferences, self.dispatcher
         guard_class = BindingGuard if preferences.binding else WeightedGuard
-        self.dispatcher = guard_class(self.fleet, old.max_legs, old.max_retry_after, old.held_state, preferences)
+        self.dispatcher = guard_class(
+            self.fleet, old.max_legs, old.max_retry_after, old.held_state, preferences
+        )
         for stage in (self.admission, self.affinity, self.reader, self.writer):
             stage.dispatcher = self.dispatcher
         preferences.update_servers(self.fleet.server_states)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -33,7 +33,9 @@
         state.mean_share = index % 200 / 100 / 1024
     messages = [sender.encode_means(0) for _ in range(6)]
     receiver.merge_means(0, messages[0])
-    assert 0 < len(receiver.peer_held) and max(len(message) for message in messages) + 9 + 10 <= MAX_GOSSIP_BYTES
+    assert (
+        0 < len(receiver.peer_held) and max(len(message) for message in messages) + 9 + 10 <= MAX_GOSSIP_BYTES
+    )
     for message in messages[1:]:
         receiver.merge_means(0, message)
     assert [round(state.mean_share * 1024 * 100) for state in receiver.ordered] == [
--- a/tests/test_settings_isolation.py
+++ b/tests/test_settings_isolation.py
@@ -358,7 +358,11 @@
             self.check_attempt(gen)
             return send(gen, server, limit)
 
-        host.request_arrived, host.send, host.logger._write = recording_arrived, recording_send, recording_write
+        host.request_arrived, host.send, host.logger._write = (
+            recording_arrived,
+            recording_send,
+            recording_write,
+        )
 
     def check_attempt(self, gen: Generation) -> None:
         """Checks that the settings of the request allow one more attempt."""
