--- a/stackpitch/platform/__init__.py
+++ b/stackpitch/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol: a front beside the OpenAI-style one, on the same loop, codec, pools and host."""
+"""The platform's HTTP protocol: a second front end beside the OpenAI-style one, on the same event loop and host."""
--- a/stackpitch/platform/__main__.py
+++ b/stackpitch/platform/__main__.py
@@ -1,4 +1,7 @@
-"""`python -m stackpitch.platform`: one gateway, in the foreground, from what its environment names."""
+"""`python -m stackpitch.platform`: runs one gateway in the foreground, configured by its environment.
+
+Exit code 2: the configuration can't be used; 1: an address is taken or the system refused a resource.
+"""
 
 import os
 import sys
@@ -11,8 +14,8 @@
     world = RealWorld()
     try:
         world.run(serve(world, os.environ))
-    except ConfigError as wrong:
-        sys.stderr.write(f"stackpitch: {wrong}\n")
+    except ConfigError as error:
+        sys.stderr.write(f"stackpitch: {error}\n")
         sys.exit(2)
-    except OSError as wrong:
-        sys.exit(f"stackpitch: {wrong}")
+    except OSError as error:
+        sys.exit(f"stackpitch: {error}")
--- a/stackpitch/platform/config.py
+++ b/stackpitch/platform/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a gateway at its start, and again with SIGHUP."""
+"""The gateway's configuration file, read at start and again on SIGHUP."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -9,25 +9,25 @@
 from stackpitch.loop.world import Address
 from stackpitch.wire.platform import Listed, listed
 
-MINIMUMS = {"sockets": 32, "memory_mb": 24}  # under these there is no room to work
-LACKS = "missing, of the wrong kind or out of range"
-BYTES = frozenset(
-    map(str, range(256))
-)  # as addresses are commonly written; a long list is read several times quicker
+MINIMUMS = {"sockets": 32, "memory_mb": 24}  # a gateway can't work with less
+INVALID_FIELD = "missing, of the wrong kind or out of range"
+# The octets of an IPv4 address in their usual spelling; looking them up makes parsing a long list several
+# times faster.
+OCTETS = frozenset(map(str, range(256)))
 
 
 class ConfigError(Exception):
-    """A configuration that can't be used; its text names the field."""
+    """The configuration can't be used; the message names the field."""
 
 
 class UnreadableConfig(ConfigError):
-    """The file can't be read now, or is no whole JSON: it may be in a moment."""
+    """The file can't be read or is incomplete JSON. A retry may succeed."""
 
-    remedy = "look at the file's rights, the disk and the limit of descriptors; write it beside and rename it into place"
+    remedy = "check the file's permissions, the disk and the descriptor limit; write a new file and rename it into place"
 
 
 class Config(msgspec.Struct, frozen=True):
-    """What was read, whole."""
+    """A complete, checked configuration."""
 
     name: str
     listen: Address
@@ -40,67 +40,71 @@
 
 
 def parse_address(text: str, field: str) -> Address:
+    """`text`: an IPv4 address and a port, as in `10.0.0.1:80`. Raises ConfigError, which names `field`."""
     host, _, port = text.rpartition(":")
     parts = host.split(".")
     numeric = len(parts) == 4 and (
-        BYTES.issuperset(parts) or all(one.isascii() and one.isdigit() and int(one) < 256 for one in parts)
+        OCTETS.issuperset(parts)
+        or all(part.isascii() and part.isdigit() and int(part) < 256 for part in parts)
     )
     if not numeric or not (port.isascii() and port.isdigit()) or not 0 < int(port) < 65_536:
-        raise ConfigError(f"{field}: found {text[:60]!r}; an IPv4 address with a port is wanted")
+        raise ConfigError(f"{field}: found {text[:60]!r}; an IPv4 address with a port is required")
     return host, int(port)
 
 
-def seeded(text: str) -> int:
+def parse_seed(text: str) -> int:
+    """`text`: hex digits. Raises ConfigError."""
     try:
         return int(text, 16)
     except ValueError:
-        raise ConfigError(f"seed: found {text[:60]!r}; hex digits are wanted") from None
+        raise ConfigError(f"seed: found {text[:60]!r}; hex digits are required") from None
 
 
-def known(values: Any) -> Listed:
+def parse_known(values: Any) -> Listed:
+    """The servers to start with until discovery answers. Raises ConfigError."""
     try:
         return listed(msgspec.json.encode(values))
-    except ValueError as wrong:
-        raise ConfigError(f"known: {wrong}") from None
+    except ValueError as error:
+        raise ConfigError(f"known: {error}") from None
 
 
-def read(given: Mapping[str, str]) -> Config:
-    """`given`: the process's environment. Raises BadConfig, of which Unreadable where another try may help."""
-    path = given.get("RELAY_CONFIG")
+def read(environ: Mapping[str, str]) -> Config:
+    """Reads the file that `RELAY_CONFIG` names in `environ`. Raises ConfigError; UnreadableConfig where a retry may help."""
+    path = environ.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG: missing")
     try:
-        with open(path, "rb") as file:  # pathlib would bring in urllib
+        with open(path, "rb") as file:  # pathlib would import urllib
             tree = msgspec.json.decode(file.read())
-    except (OSError, msgspec.DecodeError, ValueError, RecursionError) as wrong:
-        raise UnreadableConfig(f"RELAY_CONFIG: {wrong}") from None
+    except (OSError, msgspec.DecodeError, ValueError, RecursionError) as error:
+        raise UnreadableConfig(f"RELAY_CONFIG: {error}") from None
     try:
         top = Tree(tree)
         limits = top.tree("limits")
-        name = top.get("name", str, given.get("RELAY_NAME", "gateway"))
+        name = top.get("name", str, environ.get("RELAY_NAME", "gateway"))
         seed = top.get("seed", (str, int), "0")
-        for field, least in MINIMUMS.items():
-            if (found := limits.number(field, least)) < least:
-                raise ConfigError(f"limits.{field}: found {found}; {least} at least are wanted")
+        for field, minimum in MINIMUMS.items():
+            if (value := limits.number(field, minimum)) < minimum:
+                raise ConfigError(f"limits.{field}: found {value}; {minimum} is the minimum")
         return Config(
             name,
-            parse_address(top.get("listen", str, given.get("RELAY_LISTEN")), "listen"),
-            parse_address(top.get("discovery", str, given.get("RELAY_DISCOVERY")), "discovery"),
-            seeded(seed) if isinstance(seed, str) else seed,
+            parse_address(top.get("listen", str, environ.get("RELAY_LISTEN")), "listen"),
+            parse_address(top.get("discovery", str, environ.get("RELAY_DISCOVERY")), "discovery"),
+            parse_seed(seed) if isinstance(seed, str) else seed,
             int(limits.number("sockets", 1024)),
             int(limits.number("memory_mb", 128)),
-            known(top.values.get("known", {})),
+            parse_known(top.values.get("known", {})),
             top.tree("settings"),
         )
-    except Missing as lack:
-        raise ConfigError(f"{lack}: {LACKS}") from None
-    except ValueError as wrong:  # a number of thousands of digits
-        raise ConfigError(f"RELAY_CONFIG: {wrong}") from None
+    except Missing as missing:
+        raise ConfigError(f"{missing}: {INVALID_FIELD}") from None
+    except ValueError as error:  # an integer with thousands of digits
+        raise ConfigError(f"RELAY_CONFIG: {error}") from None
 
 
-def parts(settings: Tree, take: Any) -> Any:
-    """One of the readers of `benchlink.settings`, its complaint as a BadConfig."""
+def convert(settings: Tree, reader: Any) -> Any:
+    """Calls a reader of `benchlink.settings` and turns its Missing into a ConfigError."""
     try:
-        return take(settings)
-    except Missing as lack:
-        raise ConfigError(f"{lack}: {LACKS}") from None
+        return reader(settings)
+    except Missing as error:
+        raise ConfigError(f"{error}: {INVALID_FIELD}") from None
--- a/stackpitch/platform/discovery.py
+++ b/stackpitch/platform/discovery.py
@@ -1,7 +1,7 @@
-"""Follows discovery's list: one watch without a gap; what it says goes straight to the module.
+"""Follows discovery's list of servers by long polling and applies each update to the host.
 
-After a failure the whole list is asked for, as that is answered without waiting, by tries that overlap. `watching` has
-the times and their sum.
+After a failure the complete list is requested, as that is answered without waiting. Such attempts overlap; `watching`
+defines their timing and the bound that it keeps.
 """
 
 from collections import deque
@@ -14,240 +14,245 @@
 from stackpitch.loop.world import Address
 from stackpitch.membership.entries import Entry
 from stackpitch.platform.config import ConfigError, parse_address
-from stackpitch.platform.watching import BOUND, TRIES, WatchTimes
+from stackpitch.platform.watching import MAX_CONNECTIONS, MAX_STALENESS, WatchTimes
 from stackpitch.wire import http, platform
 
 if TYPE_CHECKING:
     from stackpitch.gateway.logs import Log
 
-MAX_LIST = (
-    2 << 20
-)  # bytes; 3,200 indented members take 1.3 MB. Against an answer without end, four tries of it at once
-PART = "a part of the list where all of it was asked for"
-MOST_SAID = 16  # causes that are told of one outage
+# Bytes. 3,200 members in indented JSON take 1.3 MB. Bounds the memory of an endless answer, of which
+# MAX_CONNECTIONS may be read at once.
+MAX_LIST = 2 << 20
+INCOMPLETE = "discovery sent a partial list where the complete list was requested"
+MAX_LOGGED_CAUSES = 16  # of one outage
 
 
 class BadAnswer(Exception):
-    """Discovery answered with what is no list; its text is what came. It costs the connection that it came on."""
+    """Discovery's answer is not a valid list; the message says what came. The connection that it came on is closed."""
 
-    allowed = f"status 200 and a list as JSON, {MAX_LIST} bytes at most"
-    remedy = "look at what answers at discovery's address; the list in force stays"
+    allowed = f"status 200 and a list as JSON of at most {MAX_LIST} bytes"
+    remedy = "check which service answers at discovery's address; the current list stays in force"
 
 
 class Discovery:
-    """`entries` is the list in force by name: emptied of what is removed or left out of a whole list.
+    """`entries` is the list in force by name: members that are removed, or missing from a complete list, are dropped.
 
-    `said`: causes that were logged since the last list; emptied by the next.
+    `logged_causes`: causes logged since the last list; emptied by the next.
     """
 
     def __init__(
-        self, world: World, host: Host, log: "Log", target: Address, known: platform.Listed, times: WatchTimes
+        self,
+        world: World,
+        host: Host,
+        log: "Log",
+        target: Address,
+        known: platform.Listed,
+        times: WatchTimes,
     ) -> None:
         self.world, self.host, self.log, self.target, self.times = world, host, log, target, times
         self.entries: dict[str, Entry] = {}
-        self.unknown: dict[
-            str, Entry
-        ] = {}  # members of kinds that the settings don't know; emptied as `entries`
-        self.revision: int | None = None  # None: the whole list is wanted
-        self.fresh = False  # something has come since the start
-        self.tried: Time | None = None  # when the last try began
-        self.said: set[str] = set()
+        self.unknown: dict[str, Entry] = {}  # members of kinds that the settings lack; emptied like `entries`
+        self.revision: int | None = None  # None: the complete list has to be requested
+        self.list_received = False  # from discovery, since the start
+        self.last_attempt_at: Time | None = None
+        self.logged_causes: set[str] = set()
         self.scope: Scope | None = None
-        self.take(known)
+        self.apply(known)
 
-    def aim(self, target: Address) -> None:
-        """Another address from now on; a call under way ends."""
+    def set_target(self, target: Address) -> None:
+        """Changes discovery's address; a call in progress is cancelled."""
         if target != self.target:
             self.target = target
             if self.scope is not None:
                 self.scope.cancel()
 
-    def take(self, told: platform.Listed, current: bool = False) -> None:
-        """A member that can't be used is left out; one that is known keeps the entry it had, as nothing is told of it.
-        `current`: as discovery has it now."""
+    def apply(self, update: platform.Listed, current: bool = False) -> None:
+        """Applies an update. An invalid member is left out; if it was listed before it keeps its previous entry.
+        `current`: the update is discovery's present state."""
         before = dict(self.entries)
-        if told.complete:
+        if update.complete:
             self.entries, self.unknown = {}, {}
-        for name, why in told.bad:
-            self.log.warning("bad_member", server=name, why=why)
+        for name, reason in update.bad:
+            self.log.warning("bad_member", server=name, why=reason)
             if name in before:
                 self.entries[name] = before[name]
-        for one in told.members:
-            self.unknown.pop(one.id, None)
-            if one.phase not in ("up", "draining"):
-                self.entries.pop(one.id, None)
-            elif (entry := self._entry(one, before)) is not None:
-                self.entries[one.id] = entry
-        if told.complete and before and not self.entries:
-            self.log.warning("empty_list", revision=told.revision, before=len(before), bad=len(told.bad))
+        for member in update.members:
+            self.unknown.pop(member.id, None)
+            if member.phase not in ("up", "draining"):
+                self.entries.pop(member.id, None)
+            elif (entry := self._entry(member, before)) is not None:
+                self.entries[member.id] = entry
+        if update.complete and before and not self.entries:
+            self.log.warning("empty_list", revision=update.revision, before=len(before), bad=len(update.bad))
         if self.entries != before:
-            self.host.take(told.revision, list(self.entries.values()), current)
+            self.host.take(update.revision, list(self.entries.values()), current)
 
-    def _entry(self, one: platform.Member, before: dict[str, Entry]) -> Entry | None:
+    def _entry(self, member: platform.Member, before: dict[str, Entry]) -> Entry | None:
         try:
-            host, port = parse_address(one.host_port, one.id)
-        except ConfigError as wrong:
-            self.log.warning("bad_member", why=str(wrong))
-            return before.get(one.id) if one.phase == "up" else None
+            host, port = parse_address(member.host_port, member.id)
+        except ConfigError as error:
+            self.log.warning("bad_member", why=str(error))
+            return before.get(member.id) if member.phase == "up" else None
         entry = Entry(
-            name=one.id,
+            name=member.id,
             host=host,
             port=port,
-            kind=one.flavor,
-            zone=one.locality,
-            cell=one.cell,
-            state="ready" if one.phase == "up" else "draining",
-            weight=one.size,
-            started_unix_ms=one.up_since_ms or None,
+            kind=member.flavor,
+            zone=member.locality,
+            cell=member.cell,
+            state="ready" if member.phase == "up" else "draining",
+            weight=member.size,
+            started_unix_ms=member.up_since_ms or None,
         )
-        if self._known(entry):
+        if self._kind_known(entry):
             return entry
-        self.unknown[one.id] = entry
+        self.unknown[member.id] = entry
         return None
 
-    def _known(self, entry: Entry) -> bool:
+    def _kind_known(self, entry: Entry) -> bool:
         if entry.kind in self.host.roster.kinds:
             return True
         self.log.warning("bad_member", server=entry.name, flavor=entry.kind)
         return False
 
-    def take_kinds(self, kinds: Mapping[str, tuple[Role, int]]) -> None:
-        """Other kinds of servers: the whole list is told anew, with the members that these kinds make known."""
+    def set_kinds(self, kinds: Mapping[str, tuple[Role, int]]) -> None:
+        """Applies new kinds of servers: the complete list is applied again, with the members whose kind is known now."""
         self.host.roster.set_kinds(kinds)
         listed = [*self.entries.values(), *self.unknown.values()]
-        self.entries = {one.name: one for one in listed if self._known(one)}
-        self.unknown = {one.name: one for one in listed if one.kind not in kinds}
-        self.host.take(self.host.roster.version, list(self.entries.values()), current=self.fresh)
+        self.entries = {entry.name: entry for entry in listed if self._kind_known(entry)}
+        self.unknown = {entry.name: entry for entry in listed if entry.kind not in kinds}
+        self.host.take(self.host.roster.version, list(self.entries.values()), current=self.list_received)
 
     def run(self) -> Coro[None]:
+        """Follows discovery until it is cancelled."""
         while True:
             with self.world.scope() as self.scope:
-                stream = yield from self._take_up()
+                stream = yield from self._recover()
                 try:
-                    yield from self._follow(stream)
-                except (Lost, ConnectFailed, BadAnswer) as wrong:
-                    self._failed(wrong)
-                except (
-                    Exception
-                ) as wrong:  # guards the gateway against a list that nobody thought of: it costs its call
-                    self.log.exception("discovery_raised", why=str(wrong))
+                    yield from self._watch(stream)
+                except (Lost, ConnectFailed, BadAnswer) as error:
+                    self._log_failure(error)
+                except Exception as error:  # an unforeseen answer costs only its call, not the gateway
+                    self.log.exception("discovery_raised", why=str(error))
 
-    def _failed(self, wrong: Exception) -> None:
-        """One line for each cause until the next list: a discovery that is down must not fill the log."""
-        why = str(wrong)
-        if why in self.said:
+    def _log_failure(self, error: Exception) -> None:
+        """Logs each cause once until the next list, so that an outage of discovery can't fill the log."""
+        cause = str(error)
+        if cause in self.logged_causes:
             return
-        if len(self.said) < MOST_SAID:
-            self.said.add(why)
-            if isinstance(wrong, BadAnswer):
+        if len(self.logged_causes) < MAX_LOGGED_CAUSES:
+            self.logged_causes.add(cause)
+            if isinstance(error, BadAnswer):
                 self.log.warning(
-                    "discovery_bad_answer", found=why, allowed=BadAnswer.allowed, remedy=BadAnswer.remedy
+                    "discovery_bad_answer", found=cause, allowed=BadAnswer.allowed, remedy=BadAnswer.remedy
                 )
             else:
-                self.log.info("discovery_lost", why=why)
+                self.log.info("discovery_lost", why=cause)
 
-    def _take_up(self) -> Coro[Stream]:
-        """Asks for the whole list until it comes, and takes it; the connection it came on. A try that is silent is not
-        waited for: the next one begins beside it, and the first whole answer ends the others. A part of a list tells its
-        members, but not what else there is."""
-        found: list[tuple[Stream, platform.Listed]] = []
+    def _recover(self) -> Coro[Stream]:
+        """Requests the complete list until it arrives, applies it and returns the connection that it came on.
 
-        def one(group: Group) -> Coro[None]:
+        A silent attempt is not waited for: the next starts in parallel, and the first complete list cancels the others.
+        A partial list is applied for the members that it has, but it doesn't end the recovery.
+        """
+        results: list[tuple[Stream, platform.Listed]] = []
+
+        def attempt(group: Group) -> Coro[None]:
             try:
-                stream, told = yield from self._whole()
-                if not told.complete:
+                stream, update = yield from self._request_list()
+                if not update.complete:
                     stream.close()
-                    self.take(told)
-                    raise BadAnswer(PART)
-                found.append((stream, told))
-            except (Lost, ConnectFailed, BadAnswer) as wrong:
-                self._failed(wrong)
-            except Exception as wrong:  # as in `run`
-                self.log.exception("discovery_raised", why=str(wrong))
+                    self.apply(update)
+                    raise BadAnswer(INCOMPLETE)
+                results.append((stream, update))
+            except (Lost, ConnectFailed, BadAnswer) as error:
+                self._log_failure(error)
+            except Exception as error:  # as in `run`
+                self.log.exception("discovery_raised", why=str(error))
             else:
                 group.scope.cancel()
 
-        def tries(group: Group) -> Coro[None]:
-            under_way: deque[Task] = deque()
-            place = 0
-            if self.tried is not None:
+        def attempts(group: Group) -> Coro[None]:
+            running: deque[Task] = deque()
+            number = 0
+            if self.last_attempt_at is not None:
                 yield from self.world.sleep(
-                    max(self.times.pause, self.tried + self.times.gap(0) - self.world.now())
+                    max(self.times.pause, self.last_attempt_at + self.times.gap(0) - self.world.now())
                 )
             while True:
-                under_way = deque(task for task in under_way if not task.ended)
-                if len(under_way) >= TRIES:
-                    under_way.popleft().cancel()
-                    self._failed(Lost("no answer to the whole list"))
-                self.tried = self.world.now()
-                under_way.append(group.spawn(one(group), "ask discovery"))
-                yield from self.world.sleep(self.times.gap(place))
-                place += 1
+                running = deque(task for task in running if not task.ended)
+                if len(running) >= MAX_CONNECTIONS:
+                    running.popleft().cancel()
+                    self._log_failure(Lost("no answer to the request for the complete list"))
+                self.last_attempt_at = self.world.now()
+                running.append(group.spawn(attempt(group), "ask discovery"))
+                yield from self.world.sleep(self.times.gap(number))
+                number += 1
 
-        kept: Stream | None = None
+        used: Stream | None = None
         try:
-            yield from self.world.group(tries)
-            kept, told = found[0]
-            self._told(told)
+            yield from self.world.group(attempts)
+            used, update = results[0]
+            self._update(update)
         finally:
-            for stream, _ in found:
-                if stream is not kept:
+            for stream, _ in results:
+                if stream is not used:
                     stream.close()
-        return kept
+        return used
 
-    def _whole(self) -> Coro[tuple[Stream, platform.Listed]]:
-        stream = yield from self.world.connect(self.target, BOUND)
+    def _request_list(self) -> Coro[tuple[Stream, platform.Listed]]:
+        stream = yield from self.world.connect(self.target, MAX_STALENESS)
         try:
-            told, keeps = yield from self._call(stream, platform.LIST)
+            update, reusable = yield from self._call(stream, platform.LIST)
         except BaseException:
             stream.close()
             raise
-        if not keeps:
+        if not reusable:
             stream.close()
-        return stream, told
+        return stream, update
 
-    def _told(self, told: platform.Listed) -> None:
-        if self.said:
-            self.said.clear()
-            self.log.info("discovery_back", revision=told.revision)
-        self.take(told, current=True)
-        self.host.roster.starts.confirm()  # also where it says what was known
-        self.revision, self.fresh = told.revision, True
+    def _update(self, update: platform.Listed) -> None:
+        if self.logged_causes:
+            self.logged_causes.clear()
+            self.log.info("discovery_back", revision=update.revision)
+        self.apply(update, current=True)
+        self.host.roster.starts.confirm()  # also if the update changes nothing
+        self.revision, self.list_received = update.revision, True
 
-    def _follow(self, stream: Stream) -> Coro[None]:
-        """The watch. Each next call goes out with the answer, on a new connection if discovery closes the old one."""
-        told: platform.Listed | None
+    def _watch(self, stream: Stream) -> Coro[None]:
+        """Watches for changes. Each answer is followed by the next call, on a new connection if discovery closed the old
+        one."""
+        update: platform.Listed | None
         try:
             while True:
-                since, told, keeps, asked = self.revision, None, True, self.world.now()
+                since, update, reusable, began = self.revision, None, True, self.world.now()
                 query = "" if since is None else f"?since={since}&timeout_ms={self.times.wait // MS}"
                 with self.world.limit(self.times.wait + self.times.grace):
                     if stream.closed:
                         stream = yield from self.world.connect(self.target, self.times.grace)
-                    told, keeps = yield from self._call(stream, f"{platform.LIST}{query}")
-                if told is None:
+                    update, reusable = yield from self._call(stream, f"{platform.LIST}{query}")
+                if update is None:
                     raise Lost(f"no answer within {(self.times.wait + self.times.grace) // MS} ms")
-                if since is None and not told.complete:
-                    raise BadAnswer(PART)
-                if told.complete or since is None or told.revision >= since:
-                    self._told(told)
+                if since is None and not update.complete:
+                    raise BadAnswer(INCOMPLETE)
+                if update.complete or since is None or update.revision >= since:
+                    self._update(update)
                 else:
-                    self.revision = None  # a version that goes back: what changed since is not known
-                if not keeps:
+                    self.revision = None  # the revision went back: what changed since is unknown
+                if not reusable:
                     stream.close()
                 if (
                     since is not None
-                    and told.revision <= since
-                    and self.world.now() - asked < self.times.rest
+                    and update.revision <= since
+                    and self.world.now() - began < self.times.rest
                 ):
-                    yield from self.world.sleep(
-                        self.times.rest
-                    )  # guards against answers that come at once for ever
+                    # Keeps a discovery that always answers at once from being polled in a tight loop.
+                    yield from self.world.sleep(self.times.rest)
         finally:
             stream.close()
 
     def _call(self, stream: Stream, target: str) -> Coro[tuple[platform.Listed, bool]]:
-        """What was answered, and whether the connection serves another call."""
+        """Returns the answer and whether the connection can be used for another call. Raises Lost, BadAnswer."""
         host, port = self.target
         reader = http.ResponseReader(1 << 14, MAX_LIST)
         stream.write(http.request("GET", target, f"{host}:{port}", b""))
@@ -262,5 +267,5 @@
             if reader.status != 200:
                 raise BadAnswer(f"status {reader.status}")
             return platform.listed(b"".join(pieces)), reader.keep_alive and not reader.extra
-        except (http.BadMessage, ValueError) as wrong:
-            raise BadAnswer(str(wrong)) from None
+        except (http.BadMessage, ValueError) as error:
+            raise BadAnswer(str(error)) from None
--- a/stackpitch/platform/leg.py
+++ b/stackpitch/platform/leg.py
@@ -1,4 +1,4 @@
-"""One leg to a model server: the client's request as it came, and the answer's events as they come."""
+"""One leg to a model server: forwards the client's request unchanged and relays the events of the answer."""
 
 from typing import TYPE_CHECKING
 
@@ -14,11 +14,11 @@
 if TYPE_CHECKING:
     from stackpitch.gateway.host import Host
 
-SMALL = 1 << 16  # bytes of an answer that is no stream
+MAX_RESPONSE = 1 << 16  # bytes of an answer that is not a stream
 
 
 class PlatformLeg(LegRun):
-    """A stream begins for the client with its first whole event; until then a spoilt answer is a failed leg."""
+    """The client's stream starts with the first complete event; until then an invalid answer only fails the leg."""
 
     def __init__(self, host: "Host", ask: PlatformRequest, leg: Leg, limit: Time) -> None:
         super().__init__(host, ask, leg, limit)
@@ -28,7 +28,7 @@
         return self.events.load or self.reader.headers.get("srv-load")
 
     def _leave(self, pool: Pool, stream: Stream, end: End | None) -> None:
-        """Notes what the leg may have left behind: a read that was seen to end, or may have ended unseen."""
+        """Records the KV state that the leg may have left: that of a read which succeeded, or whose end was not seen."""
         if self.leg.server.role != "writer" and self.phase[0] >= Phase.SENT:
             if end is not None and end.outcome == "read":
                 self.ask.may_hold_state, self.ask.held_since = True, self.host.world.now()
@@ -52,73 +52,76 @@
         while not reader.head_done:
             yield from self._more(stream)
         self.phase[0] = Phase.HEAD
-        kind = reader.headers.get("content-type", "")
+        content_type = reader.headers.get("content-type", "")
         if (
             self.leg.server.role == "reader"
             or reader.status != 200
-            or not kind.startswith("text/event-stream")
+            or not content_type.startswith("text/event-stream")
         ):
-            return (yield from self._whole(stream))
-        whole = self.events.feed(reader.pieces)
+            return (yield from self._read_response(stream))
+        events = self.events.feed(reader.pieces)
         while not self.events.events:
             if reader.complete:
                 return self._broken("garbled", "a stream without any event")
             yield from self._more(stream)
-            whole += self.events.feed(reader.pieces)
+            events += self.events.feed(reader.pieces)
         scope.relax()
         if not self.host.leg_started(self.ask, self.leg, True):
-            return self._broken("cancelled", "nobody wants it")
+            return self._broken("cancelled", "the generation no longer needs this leg")
         self.phase[0] = Phase.STREAMING
-        return (yield from self._relay(stream, whole))
+        return (yield from self._relay(stream, events))
 
-    def _whole(self, stream: Stream) -> Coro[End]:
-        """An answer that is no stream: a read, a refusal or an error."""
+    def _read_response(self, stream: Stream) -> Coro[End]:
+        """Reads an answer that is not a stream: that of a read, a refusal or an error."""
         reader = self.reader
         body = b"".join(reader.pieces)
         while not reader.complete:
             yield from self._more(stream)
             body += b"".join(reader.pieces)
-            if len(body) > SMALL:
-                raise http.BadMessage(502, f"answer is over {SMALL} bytes")
-        kept = platform.read_kept(body) if reader.status == 202 else None
+            if len(body) > MAX_RESPONSE:
+                raise http.BadMessage(502, f"answer is over {MAX_RESPONSE} bytes")
+        cached_tok = platform.read_kept(body) if reader.status == 202 else None
         declined = reader.headers.get("srv-declined") == "1"
-        outcome, no_state = platform.answered(self.leg.server.role, reader.status, declined, kept is not None)
+        outcome, no_state = platform.answered(
+            self.leg.server.role, reader.status, declined, cached_tok is not None
+        )
         return End(
             outcome,
             self.phase[0],
-            0 if kept is None else kept,
+            0 if cached_tok is None else cached_tok,
             no_state,
             self._load(),
             f"status {reader.status}",
         )
 
-    def _relay(self, stream: Stream, whole: bytes) -> Coro[End]:
-        """Passes whole events on as they come; a client that is slow holds up its stream, not the memory."""
+    def _relay(self, stream: Stream, unsent: bytes) -> Coro[End]:
+        """Relays complete events as they arrive. Reading pauses for a slow client, so memory stays bounded.
+
+        `unsent`: the events that have arrived so far.
+        """
         reader, ask, host, events = self.reader, self.ask, self.host, self.events
-        most = min(65536, host.bounds.buffer // 2)  # a read comes on top of what waits for the client
+        max_read = min(65536, host.bounds.buffer // 2)  # comes on top of what is buffered for the client
         self._watch_gap(stream)
         try:
             while True:
-                if whole and not ask.pass_on([whole]):
+                if unsent and not ask.pass_on([unsent]):
                     host.departed(ask)
                     return self._broken("cancelled", "the client has left")
-                whole, reader.pieces = (
-                    b"",
-                    [],
-                )  # else a read's bytes would be held thrice while the client is waited for
-                client, behind = ask.client, host.bounds.buffer
+                # Dropped here, as waiting for the client below would otherwise keep three copies of the data.
+                unsent, reader.pieces = b"", []
+                client, max_buffered = ask.client, host.bounds.buffer
                 if (
                     client is not None
-                    and client.buffered > behind
+                    and client.buffered > max_buffered
                     and not (yield from self._patience(client, events.events))
                 ):
                     host.departed(ask)
-                    return self._broken("cancelled", "the client has left, or took too little")
+                    return self._broken("cancelled", "the client has left or reads too slowly")
                 if reader.complete:
                     break
-                yield from self._more(stream, most)
-                whole = events.feed(reader.pieces)
-                self.moved += len(whole)  # what is no whole event moves nothing for the client
+                yield from self._more(stream, max_read)
+                unsent = events.feed(reader.pieces)
+                self.moved += len(unsent)  # an incomplete event is no progress for the client
         finally:
             host.relayed += self.moved
             if self.gap_timer is not None:
--- a/stackpitch/platform/lines.py
+++ b/stackpitch/platform/lines.py
@@ -1,4 +1,4 @@
-"""Log lines and counts without the console and metrics libraries, whose memory a small machine has not got."""
+"""JSON log lines and outcome counts without the logging and metrics libraries, to save memory on small machines."""
 
 import sys
 import traceback
@@ -8,19 +8,21 @@
 
 from stackpitch.gateway.counters import Counters
 
-OWN = ("level", "gateway", "event")  # fields of each line
+RESERVED_FIELDS = ("level", "gateway", "event")  # present in each line
 
 
 class JsonLog:
-    """JSON lines on standard error, with the methods of the gateway's log. `debug` is off. Of `log`, generations are
-    counted by product and by how they ended, with the outcome of the last leg where that is the reason."""
+    """Writes JSON lines to standard error; has the methods of the gateway's log. `debug` writes nothing.
+
+    `log` only counts generations, by product and by how they ended, with the outcome of the last leg where the
+    generation failed. `log_outcomes` writes these counts.
+    """
 
     def __init__(self, gateway: str) -> None:
         self.gateway = gateway
-        self.ends: dict[
-            str, dict[str, int]
-        ] = {}  # since the start or `begin_anew`; as many as products and kinds of ends
-        self.said = 0
+        # By product and kind of end, since the start or `reset_outcomes`; bounded by the number of both.
+        self.outcomes: dict[str, dict[str, int]] = {}
+        self.logged = 0  # generations that the last line of `log_outcomes` covered
 
     def _write(self, level: str, event: str, fields: dict[str, Any]) -> None:
         line = {"level": level, "gateway": self.gateway, "event": event, **fields}
@@ -28,7 +30,7 @@
             sys.stderr.write(msgspec.json.encode(line, enc_hook=str).decode() + "\n")
             sys.stderr.flush()
         except OSError:
-            pass  # guards the gateway against the end of whoever reads its lines
+            pass  # the reader of standard error may end; the gateway goes on without it
 
     def debug(self, event: str, **fields: Any) -> None: ...
 
@@ -37,29 +39,33 @@
             end, legs = fields["end"], fields["legs"]
             if end != "streamed":
                 end += f" after {legs[-1].split()[1]}" if legs else " unsent"
-            of = self.ends.setdefault(fields["product"], {})
-            of[end] = of.get(end, 0) + 1
+            counts = self.outcomes.setdefault(fields["product"], {})
+            counts[end] = counts.get(end, 0) + 1
 
     def log_outcomes(self) -> None:
-        """One line on what came of each product, if anything came since the last."""
-        came = {product: sum(of.values()) for product, of in self.ends.items()}
-        if sum(came.values()) != self.said:
-            self.said = sum(came.values())
+        """Writes one line with the outcomes of each product, unless nothing has changed since the last."""
+        totals = {product: sum(counts.values()) for product, counts in self.outcomes.items()}
+        if sum(totals.values()) != self.logged:
+            self.logged = sum(totals.values())
             self._write(
                 "info",
                 "classes",
                 {
-                    f"class {product}" if product in OWN else product: {"came": came[product], **of}
-                    for product, of in self.ends.items()
+                    f"class {product}" if product in RESERVED_FIELDS else product: {
+                        "came": totals[product],
+                        **counts,
+                    }
+                    for product, counts in self.outcomes.items()
                 },
             )
 
-    def begin_anew(self) -> None:
-        """Tells what came of each product so far; the products of the next settings are others, also by the same name."""
+    def reset_outcomes(self) -> None:
+        """Logs the outcomes so far and starts at zero: under new settings even a product of the same name is another."""
         self.log_outcomes()
-        self.ends, self.said = {}, 0
+        self.outcomes, self.logged = {}, 0
 
-    def counters(self, counters: Counters) -> None:
+    def log_counters(self, counters: Counters) -> None:
+        """Writes and resets the counters, one line for each product that was seen."""
         for line in counters.take_lines():
             self.info("counters", **line)
 
@@ -77,7 +83,7 @@
 
 
 class NullMetrics:
-    """Stands where counts would be kept."""
+    """Accepts every metric operation and stores nothing."""
 
     def __getattr__(self, name: str) -> "NullMetrics":
         return self
--- a/stackpitch/platform/listener.py
+++ b/stackpitch/platform/listener.py
@@ -1,4 +1,4 @@
-"""Where the platform's clients come in: facts from heads alone, the body passed on as it came."""
+"""Accepts the platform's clients. Facts are taken from the head alone; the body is forwarded unchanged."""
 
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -14,57 +14,56 @@
 
 
 class PlatformListener(Door):
-    """`products` and `customers` by name. `ready` tells the front that clients may come."""
+    """`products` and `customers` by name. `ready`: whether the readiness check answers 200."""
 
-    told_why = 8  # each holds a descriptor of the reserve
+    told_why = 8  # each connection refused with an answer holds a reserved descriptor
 
-    def __init__(self, *given: Any, **bounds: Any) -> None:
-        """As `Door`."""
-        super().__init__(*given, **bounds)
+    def __init__(self, *args: Any, **limits: Any) -> None:
+        """Takes the arguments of `Door`."""
+        super().__init__(*args, **limits)
         self.products: Mapping[str, Product] = {}
         self.customers: Mapping[str, Customer] = {}
         self.ready = False
-        self.told_to_stop: Callable[[], Time | None] = lambda: (
-            None
-        )  # the earliest time at which that may have been
-        self.shrinking = False  # more are open than a bound that has fallen allows
+        # The earliest time at which the stop signal may have been sent; None while there is none.
+        self.stop_signalled_at: Callable[[], Time | None] = lambda: None
+        self.over_limit = False  # a reload lowered the limit below the number of open connections
 
-    def take_bounds(self, max_connections: int, max_bodies: int) -> None:
-        """Other bounds. Resting connections beyond them end at once, others after their answer."""
+    def set_limits(self, max_connections: int, max_bodies: int) -> None:
+        """Applies new limits. Idle connections in excess close at once, busy ones after their answer."""
         self.max_connections, self.max_bodies = max_connections, max_bodies
-        for _ in range(self._beyond()):
+        for _ in range(self._excess()):
             if not self._make_room():
                 break
         self._trim()
-        self.shrinking = self._beyond() > 0
+        self.over_limit = self._excess() > 0
 
     def _takes_until(self) -> Time | None:
-        """Asks anew for each request: one may be found in the very turn in which the signal is, before anybody has acted
-        on that."""
-        told = self.told_to_stop()
-        return None if told is None else takes_until(told)
+        """Evaluated for each request: a request may be read in the same turn of the event loop as the stop signal, before
+        anything has reacted to the signal."""
+        signalled = self.stop_signalled_at()
+        return None if signalled is None else takes_until(signalled)
 
-    def _beyond(self) -> int:
+    def _excess(self) -> int:
         return self.connections - len(self.lingering) - self.max_connections
 
-    def _may_stay(self) -> bool:
-        """Asked of a connection whose answer has been taken."""
-        self.shrinking = self.shrinking and self._beyond() > 0
-        return not self.shrinking
+    def _keeps_alive(self) -> bool:
+        """Whether a connection whose answer has been sent may stay open under the current limit."""
+        self.over_limit = self.over_limit and self._excess() > 0
+        return not self.over_limit
 
     def _answer(self, stream: Stream, reader: http.RequestReader, began: Time) -> Coro[bool]:
         if reader.path in GENERATE and reader.method == "POST":
-            return (yield from self._generation(stream, reader, began)) and self._may_stay()
+            return (yield from self._generation(stream, reader, began)) and self._keeps_alive()
         if reader.path in (platform.READY, platform.WELL) and reader.method == "GET":
-            well = reader.path == platform.WELL or (self.ready and not self.stopping)
-            stream.write(http.response(200 if well else 503, b"{}", self._last(reader)))
+            passing = reader.path == platform.WELL or (self.ready and not self.stopping)
+            stream.write(http.response(200 if passing else 503, b"{}", self._last(reader)))
             return (
                 (yield from self._taken(stream))
                 and reader.keep_alive
                 and not reader.extra
                 and not self.stopping
             )
-        raise http.BadMessage(404, f"found {reader.method} {reader.path[:80]!r}")
+        raise http.BadMessage(404, f"no such path: {reader.method} {reader.path[:80]!r}")
 
     def _ask(self, stream: Stream, reader: http.RequestReader, began: Time) -> Ask:
         facts = platform.facts(reader.headers)
@@ -74,11 +73,11 @@
                 400, f"req-kind: found {facts.product[:30]!r}; allowed: {', '.join(self.products)}"
             )
         if any(gen.name == facts.name for gen in self.host.asks):
-            raise http.BadMessage(409, "req-id: it is that of a request still open here")
+            raise http.BadMessage(409, "req-id: a request with this id is still in progress")
         if not reader.body_size:
-            raise http.BadMessage(400, "a body is wanted")  # servers turn it down, each of them
+            raise http.BadMessage(400, "the body is empty")  # every server would reject it
         now = self.world.now()
-        gives_up = max(now + 1, began + facts.time_limit_ms * 10 - self.margin)
+        deadline = max(now + 1, began + facts.time_limit_ms * 10 - self.margin)
         gen = Generation(
             facts.name,
             product,
@@ -90,7 +89,7 @@
             facts.limit_tok,
             None,
             now,
-            gives_up,
+            deadline,
             facts.repeat,
             facts.resumed,
         )
--- a/stackpitch/platform/plan.py
+++ b/stackpitch/platform/plan.py
@@ -1,6 +1,7 @@
-"""What a gateway of the platform works with, worked out from its configuration before anything changes.
+"""Derives what a gateway works with from its configuration, before anything is changed.
 
-Shares of descriptors and of memory, times, and the parts of the settings that door, host and module take.
+That is: shares of descriptors and memory, time limits, and the parts of the settings that listener, host and decision
+module take.
 """
 
 from collections.abc import Mapping
@@ -14,65 +15,71 @@
 from stackpitch.loop import MS, SECOND
 from stackpitch.platform import config
 from stackpitch.platform.listener import PlatformListener
-from stackpitch.platform.watching import TRIES
+from stackpitch.platform.watching import MAX_CONNECTIONS
 
-OWN = 7  # descriptors: three standard streams, epoll, two for signals, the listener
-PASSING = 2  # a client's connection that was just accepted, and the configuration while it is read anew
-UNSEEN = 3  # of libraries that whoever starts the program loads into it
-RESERVED_DESCRIPTORS = OWN + PASSING + UNSEEN + TRIES + PlatformListener.told_why
-CLIENT_SHARE = 0.42  # of the rest: the platform's clients hold a third at most for requests
-MAX_BODY, MAX_HEAD = 256 << 10, 16 << 10  # bytes; the protocol's bound, and what no head of it reaches
-CALLS_PART = 16  # one connection to servers in so many, and one at least, is for small calls alone
-RELEASE_TRIES = (
-    84  # steps of one; with their gaps they go on for 78 times the limit of a call, some ten seconds
+PROCESS_DESCRIPTORS = 7  # three standard streams, epoll, two for signals, the listener
+TRANSIENT_DESCRIPTORS = 2  # a client's connection that was just accepted; the configuration file on a reload
+PRELOADED_DESCRIPTORS = 3  # of libraries that the parent process preloads
+RESERVED_DESCRIPTORS = (
+    PROCESS_DESCRIPTORS
+    + TRANSIENT_DESCRIPTORS
+    + PRELOADED_DESCRIPTORS
+    + MAX_CONNECTIONS
+    + PlatformListener.told_why
 )
-GAP = (
-    SECOND * 35 // 10
-)  # a client is kept waiting 5 s at most after a server's last event; seen a quarter later
+# Clients' share of the other descriptors. At most a third of the connections of the platform's clients carry
+# a request at a time.
+CLIENT_SHARE = 0.42
+MAX_BODY, MAX_HEAD = 256 << 10, 16 << 10  # bytes; the protocol's limit, and more than any of its heads needs
+CALL_DIVISOR = 16  # one in so many connections to servers, and at least one, is reserved for control calls
+# Steps of one release. With their gaps they take 78 times the time limit of a call, some ten seconds.
+RELEASE_TRIES = 84
+# A client may wait 5 s at most after a server's last event; the gap is noticed up to a quarter of it late.
+EVENT_GAP = SECOND * 35 // 10
 
 
-# The protocol has no messages between gateways and no probes. A module that is told that they are allowed waits for
-# answers that never come, and goes by what it would hear.
-NOT_CARRIED: Mapping[str, Any] = {"peers": False, "probes": False}
+# The protocol has neither gossip between gateways nor probes. A module that is allowed to use them would wait
+# for answers that never come, and base decisions on them.
+UNSUPPORTED: Mapping[str, Any] = {"peers": False, "probes": False}
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One configuration with all that follows from it."""
+    """A configuration and everything derived from it."""
 
     conf: config.Config
-    sockets: int  # descriptors that are shared out
-    clients: int  # connections of clients
-    engines: int  # connections to servers, those for calls among them
-    calls: int  # of them, those for small calls alone
-    bodies: int  # bytes of what clients send, and again of what waits for them
-    arguments: Mapping[str, Any]  # of the module
+    descriptors: int  # the number that is divided
+    client_connections: int
+    server_connections: int  # including those for control calls
+    call_connections: int  # of the server connections, those reserved for control calls
+    body_bytes: int  # for what clients send, and as much again for what waits to be sent to them
+    arguments: Mapping[str, Any]  # of the decision module
     products: Mapping[str, Product]
     customers: Mapping[str, Customer]
     kinds: Mapping[str, tuple[Role, int]]
     bounds: Bounds
 
     def same_settings(self, other: "Plan") -> bool:
-        """Whether the module would be made alike, and requests be taken alike."""
-        mine, others = self.conf, other.conf
-        return mine.seed == others.seed and bool(mine.settings.values == others.settings.values)
+        """Whether both would build the same decision module and accept requests alike."""
+        conf, other_conf = self.conf, other.conf
+        return conf.seed == other_conf.seed and bool(conf.settings.values == other_conf.settings.values)
 
 
-def bounds(settings: reading.Tree, engines: int, buffer: int) -> Bounds:
-    """`engines`: connections to servers. `buffer`: bytes that may wait for a client."""
-    allowed, extra = settings.tree("bounds"), settings.tree("extra")
-    connect, release = allowed.ticks("connectTimeoutMs", 250), extra.ticks("releaseMs", 500)
+def bounds(settings: reading.Tree, server_connections: int, buffer: int) -> Bounds:
+    """`buffer`: bytes that may wait for a client."""
+    limits, extra = settings.tree("bounds"), settings.tree("extra")
+    connect, release = limits.ticks("connectTimeoutMs", 250), extra.ticks("releaseMs", 500)
     return Bounds(
-        pool=engines,
+        pool=server_connections,
         connect=connect,
-        idle=allowed.ticks("connIdleMs", 30_000) * 7 // 10,
-        gap=GAP,
+        idle=limits.ticks("connIdleMs", 30_000) * 7 // 10,
+        gap=EVENT_GAP,
         call=min(connect, release // 4),
         release_tries=RELEASE_TRIES,
         max_head=MAX_HEAD,
         max_answer=4 << 20,
         buffer=buffer,
-        stall=GAP,
+        stall=EVENT_GAP,
         watch=20 * MS,
         request_level=0,
         release=release,
@@ -80,27 +87,28 @@
     )
 
 
-def make_plan(conf: config.Config, descriptors: int) -> Plan:
-    """`descriptors`: that the system lets the process hold. Raises BadConfig."""
-    sockets = min(conf.sockets, descriptors)  # shares of more than there are would let idle clients take all
-    if sockets < config.MINIMUMS["sockets"]:
+def make_plan(conf: config.Config, available: int) -> Plan:
+    """`available`: descriptors that the system lets the process hold. Raises ConfigError."""
+    # Shares of more descriptors than there are would let idle clients take all of them.
+    descriptors = min(conf.sockets, available)
+    if descriptors < config.MINIMUMS["sockets"]:
         raise config.ConfigError(
-            f"the process may hold {sockets} descriptors; {config.MINIMUMS['sockets']} at least are wanted"
+            f"the process may hold {descriptors} descriptors; {config.MINIMUMS['sockets']} is the minimum"
         )
-    clients = int((sockets - RESERVED_DESCRIPTORS) * CLIENT_SHARE)
-    engines = sockets - RESERVED_DESCRIPTORS - clients
-    part = conf.memory_mb << 17  # bytes, an eighth
-    buffer = pacing.buffer(part, clients, MAX_BODY)
+    client_connections = int((descriptors - RESERVED_DESCRIPTORS) * CLIENT_SHARE)
+    server_connections = descriptors - RESERVED_DESCRIPTORS - client_connections
+    body_bytes = conf.memory_mb << 17  # an eighth of the memory
+    buffer = pacing.buffer(body_bytes, client_connections, MAX_BODY)
     return Plan(
         conf=conf,
-        sockets=sockets,
-        clients=clients,
-        engines=engines,
-        calls=max(1, engines // CALLS_PART),
-        bodies=part,
-        arguments={**config.parts(conf.settings, reading.arguments), **NOT_CARRIED},
-        products=config.parts(conf.settings, reading.products),
-        customers=config.parts(conf.settings, reading.customers),
-        kinds=config.parts(conf.settings, reading.kinds),
-        bounds=config.parts(conf.settings, lambda tree: bounds(tree, engines, buffer)),
+        descriptors=descriptors,
+        client_connections=client_connections,
+        server_connections=server_connections,
+        call_connections=max(1, server_connections // CALL_DIVISOR),
+        body_bytes=body_bytes,
+        arguments={**config.convert(conf.settings, reading.arguments), **UNSUPPORTED},
+        products=config.convert(conf.settings, reading.products),
+        customers=config.convert(conf.settings, reading.customers),
+        kinds=config.convert(conf.settings, reading.kinds),
+        bounds=config.convert(conf.settings, lambda tree: bounds(tree, server_connections, buffer)),
     )
--- a/stackpitch/platform/releasing.py
+++ b/stackpitch/platform/releasing.py
@@ -1,8 +1,8 @@
-"""Releases what workers hold for a request: any running worker may be told, and does it for all of them.
+"""Releases what servers hold for a request. Any running server can be asked, and releases it at all of them.
 
-Which workers run is not known when a release is due, as many may have hung or been cut off together. So tries overlap: the
-next workers are told soon after the last, whose answer may still come, and more of them at each step. A worker that has
-answered any call since counts as running, and is told next.
+Which servers run is not known when a release is due, as many may have hung or been cut off together. So the steps of a
+release overlap: the next servers are asked soon after the last, whose answer may still come, and later steps ask more
+servers at once. A server that has answered any call in the meantime counts as running and is asked next.
 """
 
 from heapq import nlargest
@@ -18,37 +18,39 @@
 from stackpitch.wire import platform
 
 RELEASED = 204
-NEVER_TOLD: Time = -2
-NO_CONNECTION: Time = -1
+NEVER_ASKED: Time = -2
+NO_IDLE_CONNECTION: Time = -1
 
 
 class Release:
-    """One request's. `bounds`: those that it arrived under; `since`: when its last read ended, None: not seen to;
-    `urgent`: whether the time of what is held is running out."""
+    """The release for one request. `bounds`: those that the request arrived under. `held_since`: the end of its last read;
+    None: that was not seen. `urgent`: whether the state's time limit is running."""
 
     def __init__(
         self,
         host: Host,
         request: Generation,
         bounds: Bounds,
-        since: Time | None = None,
+        held_since: Time | None = None,
         urgent: bool = True,
     ) -> None:
-        self.host, self.request, self.bounds, self.since = host, request, bounds, since
+        self.host, self.request, self.bounds, self.held_since = host, request, bounds, held_since
         self.urgent = urgent
-        # When each worker was told, or found without an answer by this request. Emptied once all were told.
-        self.told = {
+        # When each server was asked, or failed to answer this request. Emptied once all servers were asked.
+        self.asked_at = {
             leg.server: host.world.now()
             for leg in request.legs
             if leg.outcome in ("reset", "time-out", "unreachable")
         }
         self.began, self.tries = host.world.now(), 0
         self.done_by: Server | None = None
-        self.pause = host.world.scope()  # before the next try
-        self.alone = not request.out()  # what is out later has a state of its own
+        self.pause = host.world.scope()  # before the next step
+        # Whether no attempt was in progress at the start: any that is later has KV state of its own.
+        self.idle_at_start = not request.out()
 
     def run(self) -> Coro[None]:
-        """Until a worker has released it and all tries have ended, a stream has let go of it, or the tries are used up."""
+        """Ends when a server has released the state and all calls have ended, a stream has released it, or no step is
+        left."""
         yield from self.host.world.group(lambda group: self._try(group, 0))
         done = self.done_by is not None or self.request.streamed()
         self.host.metrics.releases.labels("done" if done else "failed").inc()
@@ -56,44 +58,47 @@
             self.host.logger.warning("release_failed", generation=self.request.name, tries=self.tries)
 
     def _try(self, group: Group, number: int) -> Coro[None]:
-        """Tells the first of a step's workers at once: what the request begins after this release must not be on its way
-        before it. The next step comes a while later."""
+        """Runs one step. Calls the first server at once: the release must be sent before anything that the request starts
+        afterwards. The next step follows after a gap."""
         if number + 1 < self.bounds.release_tries:
             group.spawn(self._try_later(group, number + 1), f"release {self.request.name} again")
-        workers = self._next(release_width(number, self.urgent))
-        for worker in workers[1:]:
-            group.spawn(self._tell(worker), f"release {self.request.name} at {worker.name}")
-        if workers:
-            yield from self._tell(workers[0])
-
-    def _tell(self, worker: Server) -> Coro[None]:
-        self.told[worker] = self.host.world.now()
+        servers = self._next(release_width(number, self.urgent))
+        for server in servers[1:]:
+            group.spawn(self._call(server), f"release {self.request.name} at {server.name}")
+        if servers:
+            yield from self._call(servers[0])
+
+    def _call(self, server: Server) -> Coro[None]:
+        self.asked_at[server] = self.host.world.now()
         self.tries += 1
         target = platform.LEASES + self.request.name
-        answer = yield from self.host.call(worker, "DELETE", target, b"", self.bounds.call)
+        answer = yield from self.host.call(server, "DELETE", target, b"", self.bounds.call)
         if answer is not None and answer.status == RELEASED and self.done_by is None:
-            self.done_by = worker
-            self._note_done(worker)
+            self.done_by = server
+            self._record_done(server)
             self.pause.cancel()
 
     def _try_later(self, group: Group, number: int) -> Coro[None]:
-        """Unless one has answered by then. A late one waits while an attempt is out that began after the release: the time
-        rests then, and the newer state would be torn. After a stream's start there is nothing left."""
+        """Runs the next step after a gap, unless a server has released the state by then.
+
+        A late step waits while an attempt is in progress that started after the release: the state's time limit is
+        suspended then, and the release would destroy the newer state. Once a stream has started nothing is left.
+        """
         late = number >= QUICK_RELEASES
         with self.host.world.scope() as self.pause:
             yield from self.host.world.sleep(release_gap(number - 1, self.bounds.call))
-            while late and self.alone and self.request.out() and not self.request.streamed():
+            while late and self.idle_at_start and self.request.out() and not self.request.streamed():
                 yield from self.host.world.sleep(self.bounds.call)
         if self.done_by is None and not (late and self.request.streamed()):
             yield from self._try(group, number)
 
-    def _note_done(self, worker: Server) -> None:
-        """In the request's trace, if that is still kept; and with a line where the first worker told did not do it."""
+    def _record_done(self, server: Server) -> None:
+        """Adds the release to the request's trace, if the request is still known; logs it if the first call failed."""
         host, now = self.host, self.host.world.now()
-        held = self._note_held(worker)
+        held = self._record_held(server)
         if (ask := host.asks.get(self.request)) is not None:
-            host.note(ask, Step.RELEASED, f"{worker.name}{held}")
-            if isinstance(ask, PlatformRequest) and ask.held_since == self.since:
+            host.note(ask, Step.RELEASED, f"{server.name}{held}")
+            if isinstance(ask, PlatformRequest) and ask.held_since == self.held_since:
                 ask.held_since = None
         if self.tries > 1 and host.telling.allows(now, Step.RELEASED):
             host.logger.info(
@@ -101,16 +106,17 @@
                 id=self.request.name,
                 tries=self.tries,
                 ms=(now - self.began) / MS,
-                server=worker.name,
+                server=server.name,
                 left_out=host.telling.take_suppressed(),
             )
 
-    def _note_held(self, worker: Server) -> str:
-        """For how long, where that is known, also as a metric; with a line where that was too long."""
+    def _record_held(self, server: Server) -> str:
+        """Observes for how long the state was held, if that is known, and logs a time over the limit. Returns the text for
+        the trace."""
         host = self.host
-        if self.since is None:
+        if self.held_since is None:
             return ""
-        held = host.world.now() - self.since
+        held = host.world.now() - self.held_since
         host.metrics.state_held.observe(held / SECOND)
         text = f" held for {held / MS:.1f} ms"
         if held > self.bounds.release:
@@ -120,27 +126,30 @@
                 ms=held / MS,
                 allowed_ms=self.bounds.release / MS,
                 tries=self.tries,
-                server=worker.name,
+                server=server.name,
             )
         return text
 
     def _next(self, count: int) -> list[Server]:
-        """First those that no attempt waits for and whose connections were last good; of others, such that other releases
-        don't tell as well. None is told again before it has been good since, or all others were told."""
+        """The servers to ask next: first those that no attempt waits for, by when their connections last worked. Ties are
+        broken so that concurrent releases ask different servers. No server is asked twice until it has worked since, or
+        all others were asked."""
         awaited = {leg.server for leg in self.request.legs if leg.outcome is None}
-        running = [one for one in self.host.roster.addresses if one.state != "gone"]
-        left = [one for one in running if self._good_at(one) > self.told.get(one, NEVER_TOLD)]
+        running = [server for server in self.host.roster.addresses if server.state != "gone"]
+        left = [
+            server for server in running if self._last_good(server) > self.asked_at.get(server, NEVER_ASKED)
+        ]
         if not left:
-            self.told.clear()
+            self.asked_at.clear()
             left = running
 
-        def rank(one: Server) -> tuple[bool, Time, int]:
-            spread = crc32(f"{self.request.name} {one.name}".encode()) if self.tries else 0
-            return one not in awaited, self._good_at(one), spread
+        def rank(server: Server) -> tuple[bool, Time, int]:
+            spread = crc32(f"{self.request.name} {server.name}".encode()) if self.tries else 0
+            return server not in awaited, self._last_good(server), spread
 
         return nlargest(count, left, key=rank)
 
-    def _good_at(self, worker: Server) -> Time:
-        """When a connection to it last came back good; before all times if none rests."""
-        pool = self.host.pools.get(worker)
-        return pool.idle[-1][1] if pool is not None and pool.idle else NO_CONNECTION
+    def _last_good(self, server: Server) -> Time:
+        """When a connection to the server was last returned to the pool in order; NO_IDLE_CONNECTION if none is idle."""
+        pool = self.host.pools.get(server)
+        return pool.idle[-1][1] if pool is not None and pool.idle else NO_IDLE_CONNECTION
--- a/stackpitch/platform/reloading.py
+++ b/stackpitch/platform/reloading.py
@@ -1,10 +1,9 @@
-"""SIGHUP: takes another configuration while the gateway runs.
+"""Reloads the configuration on SIGHUP while the gateway runs.
 
-All of it is worked out before anything changes, so one that can't be used changes nothing. Where the settings
-are the same, the module, what it has learnt and all connections stay. Where they are not, nothing of the old
-ones decides about requests that arrive later: these meet other classes, tenants and bounds, and a module made
-anew. Requests that are under way go on at the module they arrived at, with the facts they arrived with
-(`gateway.host.told.ArrivalSettings`).
+The new configuration is worked out completely before anything changes, so one that can't be used changes nothing. If
+the settings are the same, the decision module, what it has learnt and all connections stay. If they differ, requests
+that arrive later meet only the new classes, tenants and limits and a new module. Requests in progress stay with the
+module and the settings that they arrived under (`gateway.host.told.ArrivalSettings`).
 """
 
 from collections.abc import Mapping
@@ -25,85 +24,86 @@
 if TYPE_CHECKING:
     from stackpitch.platform.lines import JsonLog
 
-TRIES, PAUSE = 20, 100 * MS  # what a new configuration has to tell counts four seconds after the signal
-RESTART = ("name", "listen")  # fields that can't change while the process runs
+# A new configuration has to be in force four seconds after the signal.
+TRIES, PAUSE = 20, 100 * MS
+NEEDS_RESTART = ("name", "listen")  # fields that can't change while the process runs
 
 
 class Reloader:
-    """`plan` is the one in force."""
+    """`plan`: the one in force."""
 
     def __init__(
         self,
         world: World,
         log: "JsonLog",
-        given: Mapping[str, str],
+        environ: Mapping[str, str],
         plan: Plan,
         host: Host,
         budget: Budget,
         door: PlatformListener,
         discovery: Discovery,
     ) -> None:
-        self.world, self.log, self.given, self.plan = world, log, given, plan
+        self.world, self.log, self.environ, self.plan = world, log, environ, plan
         self.host, self.budget, self.door, self.discovery = host, budget, door, discovery
 
     def reload_patiently(self) -> Coro[None]:
-        """Guards against a file that can't be read for a moment, or is still being written: nobody sends the signal again."""
-        for tried in range(TRIES):
+        """Retries while the file can't be read or is still being written, as nobody sends the signal again."""
+        for attempt in range(TRIES):
             try:
                 self.reload()
                 return
-            except config.UnreadableConfig as wrong:
-                if not tried:
-                    self.log.error("reload_failed", why=str(wrong), remedy=wrong.remedy, again=TRIES - 1)
-            except config.ConfigError as wrong:
-                self.log.error("reload_failed", why=str(wrong))
+            except config.UnreadableConfig as error:
+                if not attempt:
+                    self.log.error("reload_failed", why=str(error), remedy=error.remedy, again=TRIES - 1)
+            except config.ConfigError as error:
+                self.log.error("reload_failed", why=str(error))
                 return
             yield from self.world.sleep(PAUSE)
 
     def reload(self) -> None:
-        """Reads the configuration anew and puts it in force. Raises BadConfig, and then nothing has changed."""
-        new = make_plan(self._with_kept_fields(config.read(self.given)), self.world.descriptors())
+        """Reads the configuration and puts it in force. Raises ConfigError, and then nothing has changed."""
+        new = make_plan(self._with_fixed_fields(config.read(self.environ)), self.world.descriptors())
         old, self.plan = self.plan, new
         same = new.same_settings(old)
         if not same:
-            self._take_settings(new)
-        self._take_shares(new)
-        self._take_discovery(new, old)
+            self._apply_settings(new)
+        self._apply_limits(new)
+        self._apply_discovery(new, old)
         self.log.info(
             "reloaded",
             discovery=self.discovery.target,
             settings="kept" if same else "changed",
-            clients=new.clients,
-            engines=new.engines,
+            clients=new.client_connections,
+            engines=new.server_connections,
         )
 
-    def _with_kept_fields(self, conf: config.Config) -> config.Config:
-        """What can't change without a restart stays as it is, with one line for each."""
-        kept = {field: getattr(self.plan.conf, field) for field in RESTART}
-        for field, value in kept.items():
-            if (found := getattr(conf, field)) != value:
-                self.log.warning("reload_needs_restart", field=field, found=found, in_force=value)
-        return msgspec.structs.replace(conf, **kept)
+    def _with_fixed_fields(self, conf: config.Config) -> config.Config:
+        """Restores the fields that can't change without a restart and logs each that differs."""
+        fixed = {field: getattr(self.plan.conf, field) for field in NEEDS_RESTART}
+        for field, value in fixed.items():
+            if (wanted := getattr(conf, field)) != value:
+                self.log.warning("reload_needs_restart", field=field, found=wanted, in_force=value)
+        return msgspec.structs.replace(conf, **fixed)
 
-    def _take_settings(self, new: Plan) -> None:
-        """Classes, tenants, kinds, the module's arguments. Counts of the old classes are told first."""
-        self.log.begin_anew()
-        self.log.counters(self.host.counters)
+    def _apply_settings(self, new: Plan) -> None:
+        """Applies classes, tenants, kinds and the module's arguments. The counts of the old classes are logged first."""
+        self.log.reset_outcomes()
+        self.log.log_counters(self.host.counters)
         self.door.products, self.door.customers = new.products, new.customers
         before = self.host.replace_brain(new.conf.seed, Preferences(), new.arguments)
-        self.discovery.take_kinds(new.kinds)  # tells all modules the whole list
+        self.discovery.set_kinds(new.kinds)  # passes the complete list to all modules
         self.host.brain.continue_cold_turns(before)
 
-    def _take_shares(self, new: Plan) -> None:
-        """Bounds of connections, descriptors and memory. Where they are the same nothing changes."""
+    def _apply_limits(self, new: Plan) -> None:
+        """Applies the limits of connections, descriptors and memory. Unchanged limits change nothing."""
         self.host.take_bounds(new.bounds)
-        self.budget.resize(new.engines - new.calls, new.calls)
-        self.door.take_bounds(new.clients, new.bodies)
+        self.budget.resize(new.server_connections - new.call_connections, new.call_connections)
+        self.door.set_limits(new.client_connections, new.body_bytes)
 
-    def _take_discovery(self, new: Plan, old: Plan) -> None:
+    def _apply_discovery(self, new: Plan, old: Plan) -> None:
         conf = new.conf
         self.discovery.times = watching.watch_times(watching.gateway_spread(conf.name, conf.seed))
-        if not self.discovery.fresh and conf.known != old.conf.known:  # the known list is all there is so far
+        if not self.discovery.list_received and conf.known != old.conf.known:  # the known list is in force
             known = conf.known
-            self.discovery.take(Listed(known.revision, True, known.members, known.bad))
-        self.discovery.aim(conf.discovery)
+            self.discovery.apply(Listed(known.revision, True, known.members, known.bad))
+        self.discovery.set_target(conf.discovery)
--- a/stackpitch/platform/request.py
+++ b/stackpitch/platform/request.py
@@ -1,4 +1,4 @@
-"""A client's request on its way: what its legs pass on, what may be held for it, and how it is answered."""
+"""A client's request in the platform's protocol: the head fields to forward and how the answer is written."""
 
 from collections.abc import Sequence
 
@@ -9,7 +9,7 @@
 
 
 class PlatformRequest(Ask):
-    """`headers`: the request's fields that go on to the servers with it."""
+    """`headers`: the end-to-end fields that are forwarded to servers. Headers and body are dropped with the final answer."""
 
     def __init__(
         self,
@@ -22,14 +22,14 @@
     ) -> None:
         super().__init__(gen, client, target)
         self.method, self.headers, self.body = method, headers, body
-        self.sent_leg: Leg | None = None  # the newest leg whose request has been handed over whole
-        self.held_since: Time | None = (
-            None  # its last read or a later answer ended then; None: a stream has taken the state
-        )
-        self.may_hold_state = False  # a state or place may be held; a started stream lets go of it
-        self.read_outcome_unknown = (
-            False  # a read may have ended well unseen: what it left is held, whatever started since
-        )
+        self.sent_leg: Leg | None = None  # the newest leg whose request has been written completely
+        # End of the last read, or of a later answered leg. None: a stream has taken over the KV state.
+        self.held_since: Time | None = None
+        # KV state or a reservation may be held at a server; the start of a stream releases it.
+        self.may_hold_state = False
+        # A read may have succeeded without its answer being seen: its KV state must be released whatever
+        # has started since.
+        self.read_outcome_unknown = False
 
     def _final(self, how: str) -> None:
         super()._final(how)
@@ -44,7 +44,7 @@
         )
 
     def pass_on(self, pieces: Sequence[bytes]) -> bool:
-        return self._put(b"".join(http.chunk(one) for one in pieces if one))
+        return self._put(b"".join(http.chunk(piece) for piece in pieces if piece))
 
     def finish(self) -> None:
         if not self.answered:
@@ -52,7 +52,7 @@
             self._final("streamed")
 
     def refuse(self, status: int, code: str, message: str, again: bool, retry_after: Time = 0) -> None:
-        """429 promises that another try does no harm; anything that can't promise it must not be 429 or 503."""
+        """429 promises that a retry is safe, so any refusal that can't promise this must be neither 429 nor 503."""
         if self.answered:
             return
         headers = [("retry-after", f"{retry_after / 10_000:.3f}")] if again and retry_after else []
@@ -64,8 +64,11 @@
         self._final(code)
 
     def break_off(self, code: str, message: str) -> None:
-        """The connection ends without the last chunk: there is no event of our own. Half-closed, as a close would drop what
-        has been passed on and not taken yet; the door does the rest."""
+        """Ends the connection without the last chunk, as the protocol has no error event.
+
+        Only the sending side is closed: a full close would drop data that the client has not read yet. The listener
+        closes the rest.
+        """
         if not self.answered:
             self.cut = True
             if self.client is not None:
--- a/stackpitch/platform/serve.py
+++ b/stackpitch/platform/serve.py
@@ -1,4 +1,4 @@
-"""Puts a gateway of the platform together from its configuration and runs it until it is told to stop."""
+"""Builds a gateway of the platform from its configuration and runs it until it is signalled to stop."""
 
 import errno
 import gc
@@ -18,7 +18,7 @@
 from stackpitch.platform.lines import JsonLog, NullMetrics
 from stackpitch.platform.listener import PlatformListener
 from stackpitch.platform.plan import CLIENT_SHARE as CLIENT_SHARE
-from stackpitch.platform.plan import GAP, MAX_BODY, MAX_HEAD, make_plan
+from stackpitch.platform.plan import EVENT_GAP, MAX_BODY, MAX_HEAD, make_plan
 from stackpitch.platform.plan import RESERVED_DESCRIPTORS as RESERVED_DESCRIPTORS
 from stackpitch.platform.reloading import Reloader
 from stackpitch.platform.server_client import PlatformServerClient
@@ -26,37 +26,37 @@
 
 T = TypeVar("T")
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-SAY = 30 * SECOND  # between two lines that tell what became of each product
-COUNT = 10 * SECOND  # between two that tell what each product met
-HEARTBEAT = (
-    100 * MS
-)  # so exactly is known how long a request may have waited for the process; servers are told within 150
-MOMENTARY = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.EAGAIN)
+OUTCOME_LOG_INTERVAL = 30 * SECOND
+COUNTER_LOG_INTERVAL = 10 * SECOND
+# The precision with which it is known how long a request waited while the process did not run. The time left
+# that servers are told may be off by 150 ms at most.
+HEARTBEAT = 100 * MS
+TRANSIENT_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.EAGAIN)
 START_TRIES, START_PAUSE = 20, 50 * MS
 
 
 def serve(
-    world: World, given: Mapping[str, str], ready: Callable[[Host, PlatformListener], None] | None = None
+    world: World, environ: Mapping[str, str], ready: Callable[[Host, PlatformListener], None] | None = None
 ) -> Coro[None]:
-    """Runs a gateway. Raises BadConfig, and OSError on an address that is taken.
+    """Runs a gateway. Raises ConfigError, and OSError on an address that is taken.
 
-    SIGTERM: not ready any more; what comes within 0.7 s is taken, what is taken is answered, and what comes later on
-    connections that are still open is refused. SIGHUP: the configuration is read anew (`reloading`). `ready` is told what
-    was put together.
+    SIGTERM: the readiness check fails, requests that arrive within 0.7 s are accepted, accepted ones are answered, and
+    later ones on connections that are still open are refused. SIGHUP: the configuration is reloaded (`reloading`).
+    `ready` is called with what was built once the gateway serves.
     """
-    caught = yield from _patiently(world, lambda: world.signals(*STOP_SIGNALS, signal.SIGHUP))
-    conf = config.read(given)
+    caught = yield from _with_retries(world, lambda: world.signals(*STOP_SIGNALS, signal.SIGHUP))
+    conf = config.read(environ)
     log: Any = JsonLog(conf.name)
-    counts: Any = NullMetrics()
+    metrics: Any = NullMetrics()
     plan = make_plan(conf, world.descriptors())
 
     def body(group: Group) -> Coro[None]:
-        budget = Budget(plan.engines - plan.calls, plan.calls)
+        budget = Budget(plan.server_connections - plan.call_connections, plan.call_connections)
         host = Host(
             world,
             group,
             log,
-            counts,
+            metrics,
             conf.name,
             Roster(world, plan.kinds),
             plan.bounds,
@@ -70,21 +70,21 @@
             world,
             host,
             log,
-            counts,
+            metrics,
             None,
-            max_connections=plan.clients,
-            max_bodies=plan.bodies,
+            max_connections=plan.client_connections,
+            max_bodies=plan.body_bytes,
             max_body=MAX_BODY,
             max_head=MAX_HEAD,
             head=SECOND * 7 // 10,
             body=SECOND * 7 // 10,
             idle=10 * SECOND,
-            stall=GAP,
+            stall=EVENT_GAP,
             margin=10 * MS,
             fresh=SECOND * 12 // 10,
         )
         door.products, door.customers = plan.products, plan.customers
-        door.told_to_stop = lambda: world.first_of(STOP_SIGNALS)
+        door.stop_signalled_at = lambda: world.first_of(STOP_SIGNALS)
         discovery = Discovery(
             world,
             host,
@@ -93,88 +93,91 @@
             conf.known,
             watching.watch_times(watching.gateway_spread(conf.name, conf.seed)),
         )
-        reloading = Reloader(world, log, given, plan, host, budget, door, discovery)
-        host.telling.log_all = given.get(TRACE_ALL) == "all"
+        reloader = Reloader(world, log, environ, plan, host, budget, door, discovery)
+        host.telling.log_all = environ.get(TRACE_ALL) == "all"
         host.begin()
-        listener = yield from _patiently(world, lambda: world.listen(conf.listen))
+        listener = yield from _with_retries(world, lambda: world.listen(conf.listen))
         group.spawn(door.serve(group, listener), "door")
         group.spawn(discovery.run(), "discovery")
         group.spawn(_sweep(world, host), "sweep")
-        group.spawn(_each(world, SAY, log.log_outcomes), "classes")
-        group.spawn(_each(world, COUNT, lambda: _tell_counts(world, host, door, log)), "counters")
-        group.spawn(_each(world, HEARTBEAT, _nothing), "heartbeat")
+        group.spawn(_every(world, OUTCOME_LOG_INTERVAL, log.log_outcomes), "classes")
+        group.spawn(
+            _every(world, COUNTER_LOG_INTERVAL, lambda: _log_counts(world, host, door, log)), "counters"
+        )
+        group.spawn(_every(world, HEARTBEAT, _nothing), "heartbeat")
         group.spawn(_ready(world, door, discovery), "ready")
         log.info(
             "serving",
-            descriptors=plan.sockets,
-            clients=plan.clients,
-            engines=plan.engines,
+            descriptors=plan.descriptors,
+            clients=plan.client_connections,
+            engines=plan.server_connections,
             servers=len(discovery.entries),
             **{part: conf.settings.values.get(part) for part in ("report", "bounds", "guarantees")},
         )
         if ready is not None:
             ready(host, door)
-        # What the program itself consists of need not be looked at each second. Nor is it now: a look would cost as
-        # much as two readings of a list of 1,024 servers, and imports leave but some 200 objects to collect.
+        # Excludes the program's own objects from the collection of each second. No collection runs before: it
+        # would cost as much as parsing a list of 1,024 servers twice, and imports leave only some 200 objects
+        # to collect.
         gc.freeze()
         while (yield from caught()) == signal.SIGHUP:
-            group.spawn(reloading.reload_patiently(), "reload")
-        told = world.first_of(STOP_SIGNALS) or world.now()
-        door.retry_after = retry_elsewhere_after(reloading.plan.arguments["max_retry_after"])
+            group.spawn(reloader.reload_patiently(), "reload")
+        signalled = world.first_of(STOP_SIGNALS) or world.now()
+        door.retry_after = retry_elsewhere_after(reloader.plan.arguments["max_retry_after"])
         door.close_idle()
-        group.spawn(_reloads(caught, reloading), "reloads")
+        group.spawn(_reloads(caught, reloader), "reloads")
         log.info(
             "stopping",
             held=len(host.asks),
             connections=door.connections,
-            unseen_ms=(world.now() - told) / MS,
-            takes_for_ms=max(0, takes_until(told) - world.now()) / MS,
+            unseen_ms=(world.now() - signalled) / MS,
+            takes_for_ms=max(0, takes_until(signalled) - world.now()) / MS,
         )
-        yield from world.sleep(takes_until(told) - world.now())
+        yield from world.sleep(takes_until(signalled) - world.now())
         listener.finish()
         while door.accepting or host.asks or host.calls or door.connections:
             door.close_idle()
             yield from world.sleep(20 * MS)
         log.log_outcomes()
-        _tell_counts(world, host, door, log)
+        _log_counts(world, host, door, log)
         log.info("stopped")
         group.cancel()
 
     yield from world.group(body)
 
 
-def _patiently(world: World, make: Callable[[], T]) -> Coro[T]:
-    """Guards the start against a system that is short of something for a moment. Raises OSError."""
+def _with_retries(world: World, make: Callable[[], T]) -> Coro[T]:
+    """Retries a call at start while the system lacks a resource for a moment. Raises OSError."""
     for left in reversed(range(START_TRIES)):
         try:
             return make()
-        except OSError as wrong:
-            if not left or wrong.errno not in MOMENTARY:
+        except OSError as error:
+            if not left or error.errno not in TRANSIENT_ERRORS:
                 raise
         yield from world.sleep(START_PAUSE)
-    raise AssertionError("the last try returns or raises")
+    raise AssertionError("the last attempt returns or raises")
 
 
 def _ready(world: World, door: PlatformListener, discovery: Discovery) -> Coro[None]:
-    """Ready with a fresh list; with the known one alone if discovery is silent."""
+    """Becomes ready with the first list from discovery; after 0.5 s without one, with the known list."""
     with world.limit(SECOND // 2):
-        while not discovery.fresh:
+        while not discovery.list_received:
             yield from world.sleep(5 * MS)
     door.ready = True
 
 
-def _reloads(caught: Callable[[], Coro[int]], reloading: Reloader) -> Coro[None]:
-    """While the gateway stops: requests still come, and of signals that are pending together the system tells SIGTERM
-    before a SIGHUP that was sent first."""
+def _reloads(caught: Callable[[], Coro[int]], reloader: Reloader) -> Coro[None]:
+    """Reloads while the gateway stops: requests still arrive, and of signals that are pending together the system delivers
+    SIGTERM before a SIGHUP that was sent first."""
     while True:
         if (yield from caught()) == signal.SIGHUP:
-            yield from reloading.reload_patiently()
+            yield from reloader.reload_patiently()
 
 
-def _tell_counts(world: World, host: Host, door: PlatformListener, log: JsonLog) -> None:
-    """What came of each class, why connections ended, what was not permitted, and which calls of the system failed, each
-    since the last time."""
-    log.counters(host.counters)
+def _log_counts(world: World, host: Host, door: PlatformListener, log: JsonLog) -> None:
+    """Logs, each since the last time, the counters of each class, why connections ended, which acts were not permitted,
+    and which system calls failed."""
+    log.log_counters(host.counters)
     if closed := door.take_closings():
         log.info("connections_ended", **closed)
     if refused := host.refusals.take():
@@ -184,18 +187,19 @@
 
 
 def _nothing() -> None:
-    """A timer that is due often lets the loop see for how long it was not run (`World.unseen`)."""
+    """A timer that is due often lets the loop measure for how long the process did not run (`World.unseen`)."""
 
 
-def _each(world: World, span: Time, call: Callable[[], None]) -> Coro[None]:
+def _every(world: World, interval: Time, call: Callable[[], None]) -> Coro[None]:
     while True:
-        yield from world.sleep(span)
+        yield from world.sleep(interval)
         call()
 
 
 def _sweep(world: World, host: Host) -> Coro[None]:
-    """Each second. Tasks, generations and readers point at each other, and by itself the collector would let a good
-    thousand that are done lie around, with their bodies, before it looks at those that lived for a second."""
+    """Collects garbage and closes idle connections each second. Tasks, generations and readers refer to each other, and
+    by its own schedule the collector would leave over a thousand finished ones in memory, with their bodies, before it
+    examines the objects that have lived for a second."""
     while True:
         yield from world.sleep(SECOND)
         gc.collect()
--- a/stackpitch/platform/server_client.py
+++ b/stackpitch/platform/server_client.py
@@ -1,4 +1,4 @@
-"""The front towards model servers: legs, places held ahead, and letting go of whatever may be held."""
+"""The gateway's side of the platform's server protocol: legs, reservations, and the release of held KV state."""
 
 from stackpitch.gateway.ask import Ask
 from stackpitch.gateway.bounds import Bounds
@@ -14,7 +14,7 @@
 
 
 class PlatformServerClient:
-    """`gateway.host.Front` for the platform. Any running server lets go of all that is held for a generation."""
+    """`gateway.host.Front` for the platform. Any running server releases all that any server holds for a generation."""
 
     host: Host
 
@@ -23,7 +23,7 @@
         return PlatformLeg(self.host, ask, leg, limit).run()
 
     def hold(self, ask: Ask, leg: Leg, server: Server) -> Coro[bool]:
-        """Asks once the read's last byte is written; only then is a read out that the server may know of."""
+        """Requests a reservation once the read's last byte is written, as the server may know of the read only then."""
         assert isinstance(ask, PlatformRequest)
         while ask.sent_leg is not leg:
             if leg.outcome is not None:
@@ -33,14 +33,14 @@
             self.host.forbidden(Act.HOLD, reason, leg)
             return False
         answer = yield from self.host.call(server, "POST", platform.LEASES + ask.gen.name, b"")
-        if answer is None or answer.status in (200, 204):  # unknown is perhaps held
+        if answer is None or answer.status in (200, 204):  # without an answer it may be held
             ask.may_hold_state = True
             if ask.gen.over and not ask.gen.out():
                 self.release(ask)
         return answer is not None and answer.status == 200
 
     def probe(self, server: Server) -> Coro[tuple[bool, str | None]]:
-        """The platform has no such call."""
+        """The platform has no probe call."""
         yield from ()
         return False, None
 
@@ -52,7 +52,8 @@
         ask.may_hold_state, ask.held_since = False, None
 
     def release_unused(self, ask: Ask) -> None:
-        """A worker spares what an attempt waits for that has arrived, so that may be held still once it ends."""
+        """A server doesn't release state that an attempt which has reached it waits for, so some state may still be held
+        when that attempt ends."""
         self._release(ask)
 
     def release(self, ask: Ask) -> None:
@@ -67,13 +68,13 @@
             release = Release(self.host, ask.gen, bounds, ask.held_since)
             self.host.group.spawn(self.host.counted(release.run()), f"release {ask.gen.name}")
             if ask.read_outcome_unknown:
-                again = self._release_again(ask, bounds)
-                self.host.group.spawn(self.host.counted(again), f"release {ask.gen.name} again")
+                second = self._second_release(ask, bounds)
+                self.host.group.spawn(self.host.counted(second), f"release {ask.gen.name} again")
                 ask.read_outcome_unknown = False
 
-    def _release_again(self, ask: PlatformRequest, bounds: Bounds) -> Coro[None]:
-        """What a read may have left after its release, unless a stream has begun since, which lets go of it. The time rests
-        while an attempt is out, whose state this would tear."""
+    def _second_release(self, ask: PlatformRequest, bounds: Bounds) -> Coro[None]:
+        """Releases what a read may have left after the first release, unless a stream has started since, which releases it.
+        Waits while an attempt is in progress, whose KV state the release would destroy."""
         pause = release_again(bounds.release)
         yield from self.host.world.sleep(pause)
         while ask.gen.out():
--- a/stackpitch/platform/watching.py
+++ b/stackpitch/platform/watching.py
@@ -1,7 +1,8 @@
-"""When discovery is asked: every time of it follows from the one bound within which a change has to be known. Pure.
+"""The timing of calls to discovery, all derived from the one bound within which a change has to be known. Pure.
 
-A change counts as told `BOUND` after discovery had it and could be reached. A watch that fell silent the moment it went
-out, or a discovery that returns just after a try began, has to fit in that with `BAD` spoilt tries and a slow answer.
+A change has to be known `MAX_STALENESS` after discovery had it and could be reached. Within that time must fit a watch
+that goes silent as soon as it is sent, or a discovery that returns just after an attempt began, then
+`MAX_FAILED_ATTEMPTS` failed attempts and a slow answer.
 """
 
 from dataclasses import dataclass
@@ -9,54 +10,62 @@
 
 from stackpitch.loop import SECOND, Time
 
-BOUND = 6 * SECOND
-BAD = 3  # tries in a row that may be refused, silent or spoilt, and the next still be in time
-TRIES = 4  # connections to discovery at once, each with a descriptor of the reserve
-LEAST_SHARE = 0.75  # of a gap: the shortest among the gateways
+MAX_STALENESS = 6 * SECOND
+# Attempts in a row that may be refused, time out or be answered badly while the next is still in time.
+MAX_FAILED_ATTEMPTS = 3
+MAX_CONNECTIONS = 4  # to discovery at once; each has a reserved descriptor
+MIN_GAP_FACTOR = 0.75  # of a gap: the shortest that any gateway uses
 
 
 @dataclass(frozen=True, slots=True)
 class WatchTimes:
-    wait: Time  # a watch may wait so long for news
-    grace: Time  # and its answer take so long after that; then it is silent
-    pause: Time  # before the first try after a failure: gateways that all lost their watch at once don't ask at once
-    gaps: tuple[Time, ...]  # between the starts of tries, in order; the last for all that follow
-    answer: Time  # connection and whole list of a try that is good
-    rest: Time  # before the next call when an answer came at once and told nothing new; a watch goes on for 200 ms
+    """One gateway's timing of its calls to discovery."""
 
-    def gap(self, place: int) -> Time:
-        return self.gaps[min(place, len(self.gaps) - 1)]
+    wait: Time  # how long discovery may hold a watch open until there is news
+    grace: Time  # how long the answer may take after that before the watch counts as silent
+    # Before the first attempt after a failure, so that gateways that lost their watches together spread out.
+    pause: Time
+    gaps: tuple[Time, ...]  # between the starts of successive attempts; the last one repeats
+    answer: Time  # for a successful attempt: connecting and the complete list
+    # Before the next call after an immediate answer without news. A watch normally stays open for 200 ms.
+    rest: Time
+
+    def gap(self, attempt: int) -> Time:
+        """From the start of attempt number `attempt`, counted from 0, to the start of the next."""
+        return self.gaps[min(attempt, len(self.gaps) - 1)]
 
     def silent(self) -> Time:
-        """From a watch that is silent from its first moment to the whole list."""
-        return self.wait + self.grace + self.taken_up()
+        """Worst case from a watch that is silent from its first moment to the complete list."""
+        return self.wait + self.grace + self.recovered()
 
-    def taken_up(self) -> Time:
-        """From a failure, or another address, to the whole list."""
-        return self.pause + sum(self.gap(place) for place in range(BAD)) + self.answer
+    def recovered(self) -> Time:
+        """Worst case from a failure, or a change of address, to the complete list."""
+        return self.pause + sum(self.gap(attempt) for attempt in range(MAX_FAILED_ATTEMPTS)) + self.answer
 
     def back(self) -> Time:
-        """From discovery's return after a long silence to the whole list: a try has just begun, and was in vain."""
-        return (1 + BAD) * self.gaps[-1] + self.answer
+        """Worst case from discovery's return after a long outage, just after a failed attempt began, to the complete
+        list."""
+        return (1 + MAX_FAILED_ATTEMPTS) * self.gaps[-1] + self.answer
 
     def margin(self) -> Time:
-        return BOUND - max(self.silent(), self.back())
+        """What is left of the bound in the worst case."""
+        return MAX_STALENESS - max(self.silent(), self.back())
 
 
 def gateway_spread(name: str, seed: int) -> float:
-    """From 0 to 1, another one at each gateway."""
+    """A number from 0 to 1 that differs between gateways."""
     return crc32(f"{seed} {name}".encode()) / (1 << 32)
 
 
 def watch_times(spread: float) -> WatchTimes:
-    """`spread`: from 0 to 1, the gateway's own. Tries of different gateways drift apart by it."""
-    part = BOUND // 30
-    gaps = tuple(int(count * part * (LEAST_SHARE + (1 - LEAST_SHARE) * spread)) for count in (1, 2, 4))
+    """`spread`: from 0 to 1, see `gateway_spread`. It makes the attempts of different gateways drift apart."""
+    unit = MAX_STALENESS // 30
+    gaps = tuple(int(count * unit * (MIN_GAP_FACTOR + (1 - MIN_GAP_FACTOR) * spread)) for count in (1, 2, 4))
     return WatchTimes(
-        wait=9 * part,
-        grace=3 * part,
-        pause=int(part * spread / 2),
+        wait=9 * unit,
+        grace=3 * unit,
+        pause=int(unit * spread / 2),
         gaps=gaps,
-        answer=5 * part,
-        rest=part // 4,
+        answer=5 * unit,
+        rest=unit // 4,
     )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -32,9 +32,9 @@
 def test_the_times_of_discovery_fit_its_bound() -> None:
     for spread in (0.0, 0.5, 1.0):
         times = watching.watch_times(spread)
-        assert times.margin() >= SECOND and times.taken_up() <= 4 * SECOND
+        assert times.margin() >= SECOND and times.recovered() <= 4 * SECOND
         # No try is given up for others before a good answer has had its time, also where the gaps are shortest.
-        assert sum(times.gap(place) for place in range(watching.TRIES)) >= times.answer
+        assert sum(times.gap(place) for place in range(watching.MAX_CONNECTIONS)) >= times.answer
         assert times.rest < SECOND // 5 and times.grace < times.wait
 
 
