--- a/stackpitch/gateway/admin.py
+++ b/stackpitch/gateway/admin.py
@@ -1,4 +1,4 @@
-"""The admin port: metrics, the list in force, and the call to read the list anew. Loopback by default."""
+"""The admin port: metrics, the server list in force, and requests to reload it. On loopback by default."""
 
 from collections.abc import Callable, Mapping
 from urllib.parse import parse_qsl
@@ -8,17 +8,16 @@
 from stackpitch.loop import SECOND, Coro, Group, Listener, Lost, Stream, World
 from stackpitch.wire import http
 
-RouteHandler = Callable[
-    [Mapping[str, str]], Coro[tuple[int, bytes]]
-]  # what stood after the ?, to status and body
-BodyHandler = Callable[[bytes], Coro[tuple[int, bytes]]]  # the request's body, to status and body
-StreamHandler = Callable[
-    [http.RequestReader, Stream], Coro[bool]
-]  # writes a long answer; whether the connection is kept
+# From the query's parameters to status and body.
+RouteHandler = Callable[[Mapping[str, str]], Coro[tuple[int, bytes]]]
+# From the request's body to status and body.
+BodyHandler = Callable[[bytes], Coro[tuple[int, bytes]]]
+# Writes a long answer; returns whether the connection stays open.
+StreamHandler = Callable[[http.RequestReader, Stream], Coro[bool]]
 
 
 class Admin:
-    """A few small answers, one connection each; and long ones, whose `Streamer` bounds its own waits."""
+    """Serves short answers, one a connection, and long ones, whose `StreamHandler` bounds its own waits."""
 
     REQUEST_TIMEOUT = 5 * SECOND
 
@@ -29,7 +28,8 @@
         body_handlers: dict[str, BodyHandler] | None = None,
         max_body: int = 8192,
     ) -> None:
-        """`takers`: by path, what is posted with a body. `streams`: by the beginning of the path."""
+        """`routes`: by method and path. `body_handlers`: by path, for POST requests with a body of at most
+        `max_body` bytes. `stream_handlers`: by path prefix."""
         self.world, self.routes, self.body_handlers, self.max_body = (
             world,
             routes,
@@ -39,57 +39,63 @@
         self.stream_handlers: dict[str, StreamHandler] = {}
 
     def serve(self, group: Group, listener: Listener) -> Coro[None]:
+        """Accepts connections until the listener is closed."""
         while True:
             try:
                 stream = yield from listener.accept()
             except Lost:
                 return
-            group.spawn(self._one(stream), "admin")
+            group.spawn(self._connection(stream), "admin")
 
-    def _one(self, stream: Stream) -> Coro[None]:
+    def _connection(self, stream: Stream) -> Coro[None]:
         try:
-            while (yield from self._answered(stream)):
+            while (yield from self._request(stream)):
                 pass
         except Lost:
             pass
-        except http.BadMessage as wrong:
+        except http.BadMessage as error:
             try:
                 stream.write(
-                    http.response(wrong.status, str(wrong).encode(), [("connection", "close")], "text/plain")
+                    http.response(error.status, str(error).encode(), [("connection", "close")], "text/plain")
                 )
             except Lost:
                 pass
         finally:
             stream.close()
 
-    def _answered(self, stream: Stream) -> Coro[bool]:
-        """One request; whether another may follow."""
-        reader, streamer = http.RequestReader(8192, self.max_body), None
+    def _request(self, stream: Stream) -> Coro[bool]:
+        """Reads and answers one request; returns whether another may follow."""
+        reader, handler = http.RequestReader(8192, self.max_body), None
         with self.world.limit(self.REQUEST_TIMEOUT) as scope:
             while not reader.complete:
                 data = yield from stream.recv()
                 if not data:
                     return False
                 reader.feed(data)
-            streamer = next(
-                (one for start, one in self.stream_handlers.items() if reader.path.startswith(start)), None
+            handler = next(
+                (
+                    candidate
+                    for prefix, candidate in self.stream_handlers.items()
+                    if reader.path.startswith(prefix)
+                ),
+                None,
             )
-            if streamer is None:
-                yield from self._short(stream, reader)
-        if scope.expired or streamer is None:
+            if handler is None:
+                yield from self._answer(stream, reader)
+        if scope.expired or handler is None:
             return False
-        return (yield from streamer(reader, stream)) and not reader.extra
+        return (yield from handler(reader, stream)) and not reader.extra
 
-    def _short(self, stream: Stream, reader: http.RequestReader) -> Coro[None]:
+    def _answer(self, stream: Stream, reader: http.RequestReader) -> Coro[None]:
         route = self.routes.get((reader.method, reader.path))
-        taker = self.body_handlers.get(reader.path) if reader.method == "POST" else None
-        if taker is not None:
-            status, body = yield from taker(reader.body())
+        body_handler = self.body_handlers.get(reader.path) if reader.method == "POST" else None
+        if body_handler is not None:
+            status, body = yield from body_handler(reader.body())
         elif route is None:
-            known = ", ".join(f"{method} {path}" for method, path in self.routes)
-            status, body = 404, msgspec.json.encode({"error": f"allowed: {known}"})
+            allowed = ", ".join(f"{method} {path}" for method, path in self.routes)
+            status, body = 404, msgspec.json.encode({"error": f"allowed: {allowed}"})
         else:
             status, body = yield from route(dict(parse_qsl(reader.query)))
-        kind = "text/plain; version=0.0.4" if reader.path == "/metrics" else "application/json"
-        stream.write(http.response(status, body, [("connection", "close")], kind))
+        content_type = "text/plain; version=0.0.4" if reader.path == "/metrics" else "application/json"
+        stream.write(http.response(status, body, [("connection", "close")], content_type))
         yield from stream.drain()
--- a/stackpitch/gateway/duties.py
+++ b/stackpitch/gateway/duties.py
@@ -1,4 +1,7 @@
-"""From settings to a gateway's duties. Imported only where settings name voters; a duty's work only where they name it."""
+"""Builds a gateway's coordinated tasks from its settings.
+
+Imported only where the settings name voting replicas; each task's modules only where they name that task.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,110 +17,112 @@
 from stackpitch.wire import http
 
 
-def figures(settings: Settings) -> Figures:
-    one = settings.duties
+def build_figures(settings: Settings) -> Figures:
+    """The parameters of leases and calls between gateways."""
+    part = settings.duties
     addresses = tuple(
         (host, int(port)) for host, _, port in (address.rpartition(":") for address in settings.peers.admin)
     )
     return Figures(
-        one.fleet,
+        part.fleet,
         settings.module.number,
         addresses,
-        tuple(one.voters),
-        tuple(one.names),
-        one.file,
-        one.generation,
-        ticks(one.lease_ms),
-        one.drift,
-        ticks(one.call_ms),
-        ticks(one.announce_ms),
-        one.max_calls,
+        tuple(part.voters),
+        tuple(part.names),
+        part.file,
+        part.generation,
+        ticks(part.lease_ms),
+        part.drift,
+        ticks(part.call_ms),
+        ticks(part.announce_ms),
+        part.max_calls,
     )
 
 
-def duties(world: World, settings: Settings, log: Log, host: Host, door: Door, admin: Admin) -> Duties:
-    """The duties, with what the door and the admin port give them and are given by them."""
-    made = Duties(world, log, figures(settings))
-    admin.body_handlers["/duty"], admin.max_body = made.take, made.LARGEST
-    admits: Callable[[str], bool] = _any
+def build_duties(world: World, settings: Settings, log: Log, host: Host, door: Door, admin: Admin) -> Duties:
+    """The coordinated tasks, connected to the listener, the host and the admin port."""
+    duties = Duties(world, log, build_figures(settings))
+    admin.body_handlers["/duty"], admin.max_body = duties.take, duties.LARGEST
+    admits: Callable[[str], bool] = _admit_any
     if settings.duties.vocabulary is not None:
-        admits = _vocabulary(world, settings, log, host, made, door, admin)
+        admits = _add_vocabulary(world, settings, log, host, duties, door, admin)
     if settings.duties.weights is not None:
-        _weights(world, settings, log, host, made, admin.stream_handlers, admits)
-    return made
+        _add_weights(world, settings, log, host, duties, admin.stream_handlers, admits)
+    return duties
 
 
-def _any(vocabulary: str) -> bool:
-    """Where nobody judges vocabularies, each may be put in service."""
+def _admit_any(vocabulary: str) -> bool:
+    """Without the vocabulary task any vocabulary may be put in service."""
     return True
 
 
-def _vocabulary(
-    world: World, settings: Settings, log: Log, host: Host, made: Duties, door: Door, admin: Admin
+def _add_vocabulary(
+    world: World, settings: Settings, log: Log, host: Host, duties: Duties, door: Door, admin: Admin
 ) -> Callable[[str], bool]:
-    """Gives what tells a release whether servers may run on a vocabulary."""
+    """Adds the vocabulary task. Returns the check whether servers may run on a vocabulary, for releases of
+    weights."""
     from stackpitch.duties.vocabulary.judging import Files, InChild, InSteps
     from stackpitch.duties.vocabulary.work import VocabularyWork
     from stackpitch.gateway import token_ids
     from stackpitch.gateway.tongues import Tongues
 
-    one = settings.duties.vocabulary
-    assert one is not None
-    files = Files(one.vocabularies, one.profiles, tuple(settings.customers), tuple(settings.products))
-    way = InChild(world, ticks(one.judge_ms)) if world.pipes else InSteps(world)
+    part = settings.duties.vocabulary
+    assert part is not None
+    files = Files(part.vocabularies, part.profiles, tuple(settings.customers), tuple(settings.products))
+    runner = InChild(world, ticks(part.judge_ms)) if world.pipes else InSteps(world)
     work = VocabularyWork(
         world,
-        made,
+        duties,
         files,
-        way,
+        runner,
         lambda: token_ids.count_vocabularies(host.roster),
         lambda text: log.info("vocabulary", text=text),
-        one.most_share,
+        part.most_share,
     )
-    made.add(work)
+    duties.add(work)
     door.speaking = token_ids.TokenIdTranslator(work, host.roster)
     host.narrow(Tongues(host.roster, host.asks).may)
     admin.routes |= token_ids.routes(work, admin.routes["POST", "/fleet/confirm"])
     return work.admits
 
 
-def _weights(
+def _add_weights(
     world: World,
     settings: Settings,
     log: Log,
     host: Host,
-    made: Duties,
-    streams: dict[str, StreamHandler],
+    duties: Duties,
+    stream_handlers: dict[str, StreamHandler],
     admits: Callable[[str], bool],
 ) -> None:
     from stackpitch.duties.weights import serving
     from stackpitch.duties.weights.work import WeightsWork
     from stackpitch.gateway.engine_weights import SiteEngines
 
-    def say(word: str, **fields: Any) -> None:
+    def log_event(word: str, **fields: Any) -> None:
         if "remedy" in fields:
-            failures.labels(word.removeprefix("weights_")).inc()
+            errors.labels(word.removeprefix("weights_")).inc()
         (log.error if "remedy" in fields else log.info)(word, **fields)
 
     def revenue() -> float:
         return sum(ask.gen.product.revenue for ask in host.asks.values())
 
-    def given(request: http.RequestReader, stream: Stream) -> Coro[bool]:
+    def serve_weights(request: http.RequestReader, stream: Stream) -> Coro[bool]:
         return (yield from serving.answer(world, work.receiver, request, stream))
 
     assert settings.duties.weights is not None
     engines = SiteEngines(world, host, settings.module.zone)
     work = WeightsWork(
         world,
-        made,
+        duties,
         settings.duties.weights,
         world.fresh(),
         settings.peers.admin.__getitem__,
         engines,
         admits=admits,
         revenue=revenue,
-        log=say,
+        log=log_event,
     )
-    failures = host.metrics.register_weights(work.receiver.states, lambda: work.receiver.trouble is not None)
-    made.add(work)
-    streams[serving.PREFIX] = given
+    errors = host.metrics.register_weights(work.receiver.states, lambda: work.receiver.trouble is not None)
+    duties.add(work)
+    stream_handlers[serving.PREFIX] = serve_weights
--- a/stackpitch/gateway/engine_weights.py
+++ b/stackpitch/gateway/engine_weights.py
@@ -1,9 +1,10 @@
-"""What the engines of a gateway's site run on, and the word to load a version that is in place and released.
+"""Which weights the engines of a gateway's site run on, and the call to load a version that is in place and
+released.
 
     POST /v1/weights {"model": M, "version": V}   load it; answered at once
-    GET /v1/weights                               {"weights": {M: V}}: what it runs on now
+    GET /v1/weights                               {"weights": {M: V}}: what the engine runs on now
 
-An engine that does not know these calls, or gives no answer, may run on anything: nothing is taken from under it.
+An engine that doesn't know these calls, or doesn't answer, may run on any version, so none may be deleted.
 """
 
 import msgspec
@@ -14,49 +15,56 @@
 from stackpitch.wire import engine, http
 from stackpitch.wire.decoding import decode
 
-LOOK: Time = 5 * SECOND  # at what engines run on, no oftener than somebody asks
+POLL_INTERVAL: Time = 5 * SECOND  # the shortest; engines are only polled when somebody asks
 
 
 class SiteEngines:
-    """`runs`: model to version, as each server of the zone said last; servers that are gone go with the next look."""
+    """`versions`: model to version, by server of the zone, from its last answer. Emptied of servers that are
+    gone by the next poll."""
 
     def __init__(self, world: World, host: Host, zone: str) -> None:
         self.world, self.host, self.zone = world, host, zone
-        self.runs: dict[Server, dict[str, str]] = {}
-        self.looked: Time = -LOOK
-        self.looking = False
+        self.versions: dict[Server, dict[str, str]] = {}
+        self.polled_at: Time = -POLL_INTERVAL
+        self.polling = False
 
     def _servers(self) -> list[Server]:
-        return [one for one in self.host.roster.addresses if one.zone == self.zone and one.state != "gone"]
+        return [
+            server
+            for server in self.host.roster.addresses
+            if server.zone == self.zone and server.state != "gone"
+        ]
 
     def used(self, model: str, version: str) -> bool:
-        """One runs on it, or may. By what the last look found, which this call may begin anew."""
-        if not self.looking and self.world.now() - self.looked >= LOOK:
-            self.looking = True
-            self.host.group.spawn(self._look(), "weights of engines")
-        known = [self.runs.get(one) for one in self._servers()]
-        return any(one is None or one.get(model) == version for one in known)
+        """Whether an engine runs on this version, or may. Uses the last poll's result and starts a new poll
+        if it is old."""
+        if not self.polling and self.world.now() - self.polled_at >= POLL_INTERVAL:
+            self.polling = True
+            self.host.group.spawn(self._poll(), "weights of engines")
+        known = [self.versions.get(server) for server in self._servers()]
+        return any(versions is None or versions.get(model) == version for versions in known)
 
     def released(self, model: str, version: str) -> Coro[None]:
+        """Tells all engines of the site to load a version."""
         body = msgspec.json.encode(engine.WeightsCall(model, version))
         for server in self._servers():
-            self._said(server, (yield from self.host.call(server, "POST", engine.WEIGHTS, body)))
+            self._record(server, (yield from self.host.call(server, "POST", engine.WEIGHTS, body)))
 
-    def _look(self) -> Coro[None]:
+    def _poll(self) -> Coro[None]:
         try:
-            found = self._servers()
-            for server in [one for one in self.runs if one not in found]:
-                del self.runs[server]
-            for server in found:
-                self._said(server, (yield from self.host.call(server, "GET", engine.WEIGHTS, b"")))
-            self.looked = self.world.now()
+            servers = self._servers()
+            for server in [known for known in self.versions if known not in servers]:
+                del self.versions[server]
+            for server in servers:
+                self._record(server, (yield from self.host.call(server, "GET", engine.WEIGHTS, b"")))
+            self.polled_at = self.world.now()
         finally:
-            self.looking = False
+            self.polling = False
 
-    def _said(self, server: Server, answer: http.ResponseReader | None) -> None:
-        self.runs.pop(server, None)
+    def _record(self, server: Server, answer: http.ResponseReader | None) -> None:
+        self.versions.pop(server, None)
         if answer is not None and answer.status == 200:
             try:
-                self.runs[server] = decode(b"".join(answer.pieces), type=engine.WeightsAnswer).weights
+                self.versions[server] = decode(b"".join(answer.pieces), type=engine.WeightsAnswer).weights
             except msgspec.DecodeError:
-                pass  # as if it had not answered
+                pass  # treated as no answer
--- a/stackpitch/gateway/logs.py
+++ b/stackpitch/gateway/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard error: JSON lines or a console form."""
+"""Structured logs on standard error, as JSON lines or for a console."""
 
 import logging
 import sys
@@ -10,16 +10,17 @@
 
 
 def make_logger(name: str, level: str, form: str) -> Log:
-    shown: structlog.typing.Processor = structlog.processors.JSONRenderer()
+    """The log of the gateway `name`. `level`: a key of LEVELS; `form`: `console`, else JSON."""
+    renderer: structlog.typing.Processor = structlog.processors.JSONRenderer()
     if form == "console":
-        shown = structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
+        renderer = structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     log: Log = structlog.wrap_logger(
         structlog.WriteLogger(sys.stderr),
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
-            shown,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
     )
--- a/stackpitch/gateway/roster.py
+++ b/stackpitch/gateway/roster.py
@@ -1,4 +1,4 @@
-"""From lists to the module's servers. Pure."""
+"""Turns server lists into the decision module's server objects. Pure."""
 
 from collections.abc import Mapping, Sequence
 
@@ -10,41 +10,42 @@
 
 
 class Roster:
-    """The servers that lists have named, by name: one object each for as long as it is what it was.
+    """The listed servers by name. A server keeps its object for as long as its identity (zone, kind, cell,
+    ...) is the same.
 
-    Emptied of what is gone by `forget`, which the host calls once the last leg there is back.
+    Emptied of servers that are gone by `forget`, which the host calls once the last leg there has ended.
     """
 
     def __init__(self, world: World, kinds: Mapping[str, tuple[Role, int]]) -> None:
         self.kinds, self.version = kinds, -1
-        self.lists_applied = 0  # lists so far
+        self.lists_applied = 0
         self.servers: dict[str, Server] = {}
         self.addresses: dict[Server, Address] = {}
         self.entries: dict[str, Entry] = {}  # the list in force
-        self.vocabularies: dict[Server, str] = {}  # of those whose entry names one
+        self.vocabularies: dict[Server, str] = {}  # of servers whose entry names one
         self.starts = Starts(world)
 
     def apply(self, version: int, entries: Sequence[Entry], current: bool = True) -> list[Server]:
-        """Takes a checked list as the complete one and gives the servers of which it says something new; those left out
-        are now gone. `current`: not one that may be old."""
-        told = {one.name: one for one in entries}
-        for name in self.servers.keys() - told.keys():
+        """Applies a checked, complete list and returns the servers that are new or changed. Servers that are
+        missing from it are gone from now on. `current`: False for a list that may be out of date."""
+        listed = {entry.name: entry for entry in entries}
+        for name in self.servers.keys() - listed.keys():
             self.servers[name].state = "gone"
-        found = [
-            self._update_server(one)
-            for name, one in told.items()
-            if self.entries.get(name) != one or name not in self.servers
+        changed = [
+            self._update_server(entry)
+            for name, entry in listed.items()
+            if self.entries.get(name) != entry or name not in self.servers
         ]
-        self.starts.keep(told)
+        self.starts.keep(listed)
         if current:
             self.starts.confirm()
-        self.entries, self.version = told, version
+        self.entries, self.version = listed, version
         self.lists_applied += 1
-        return found
+        return changed
 
-    def _update_server(self, one: Entry) -> Server:
-        role, memory = self.kinds[one.kind]
-        server = self.servers.get(one.name)
+    def _update_server(self, entry: Entry) -> Server:
+        role, memory = self.kinds[entry.kind]
+        server = self.servers.get(entry.name)
         if server is not None and (
             server.zone,
             server.kind,
@@ -52,24 +53,29 @@
             self.vocabularies.get(server, ""),
             server.role,
             server.memory_tok,
-        ) != (one.zone, one.kind, one.cell, one.vocabulary, role, memory):
-            server.state = "gone"  # another machine under the same name; or one to which nothing that it kept means anything
+        ) != (entry.zone, entry.kind, entry.cell, entry.vocabulary, role, memory):
+            # Another machine under the same name, or one whose cached state is no longer valid.
+            server.state = "gone"
             server = None
         if server is None:
-            server = self.servers[one.name] = Server(one.name, one.zone, one.kind, one.cell, role, memory)
-            if one.vocabulary:
-                self.vocabularies[server] = one.vocabulary
-        server.state, server.weight = one.state, one.weight
-        start = self.starts.take(one.name, one.started_unix_ms)
+            server = self.servers[entry.name] = Server(
+                entry.name, entry.zone, entry.kind, entry.cell, role, memory
+            )
+            if entry.vocabulary:
+                self.vocabularies[server] = entry.vocabulary
+        server.state, server.weight = entry.state, entry.weight
+        start = self.starts.take(entry.name, entry.started_unix_ms)
         server.started, server.told = (None, None) if start is None else (start.claimed, start.told)
-        self.addresses[server] = one.address
+        self.addresses[server] = entry.address
         return server
 
     def set_kinds(self, kinds: Mapping[str, tuple[Role, int]]) -> None:
-        """Other roles and memories of kinds. The next list is looked at whole, as for a module that knows no server yet."""
+        """Sets other roles and memory sizes for kinds. The next list is then applied in full, as to an empty
+        roster."""
         self.kinds, self.entries = kinds, {}
 
     def forget(self, server: Server) -> None:
+        """Drops a server that is gone; does nothing for one that is listed."""
         if server.state == "gone":
             self.addresses.pop(server, None)
             self.vocabularies.pop(server, None)
--- a/stackpitch/gateway/roster_manager/__init__.py
+++ b/stackpitch/gateway/roster_manager/__init__.py
@@ -1,8 +1,8 @@
-"""Brings lists from files into the module: watches, has them checked, asks the registrar, applies, keeps.
+"""Brings server lists from files into the decision module: watches files, has them checked, applies and
+persists lists.
 
-Nothing is decided here. Which list comes into force is the registrar's matter (`membership.registrar`), what a good set
-is the checker's (`membership.bundle`).
-"""
+Nothing is decided here. The registrar decides which list comes into force (`membership.registrar`), the
+checker what a valid set of files is (`membership.bundle`)."""
 
 from stackpitch.gateway.roster_manager.manager import RosterManager
 
--- a/stackpitch/gateway/roster_manager/checker.py
+++ b/stackpitch/gateway/roster_manager/checker.py
@@ -1,4 +1,5 @@
-"""The process that reads and checks files for a gateway, and the lines that it answers in."""
+"""The child process that reads and checks files for a gateway, and the protocol of lines that it answers
+in."""
 
 import sys
 from collections.abc import Mapping
@@ -10,20 +11,21 @@
 from stackpitch.membership.bundle import Asked, Bundle
 from stackpitch.membership.entries import Entry
 
-LARGEST_ANSWER = 64 << 20
+MAX_ANSWER = 64 << 20  # bytes
 
 
-class Lines:
-    """Whole lines of a stream."""
+class LineReader:
+    """Reads complete lines from a stream, of MAX_ANSWER bytes in total at most."""
 
     def __init__(self, stream: Stream) -> None:
         self.stream, self.data, self.read = stream, bytearray(), 0
 
     def next(self) -> Coro[bytes]:
+        """Raises Lost if the stream ends or sends too much."""
         while (end := self.data.find(b"\n")) < 0:
             part = yield from self.stream.recv(1 << 18)
             self.read += len(part)
-            if not part or self.read > LARGEST_ANSWER:
+            if not part or self.read > MAX_ANSWER:
                 raise Lost("the checker ended")
             self.data += part
         line = bytes(self.data[:end])
@@ -32,7 +34,7 @@
 
 
 class Checker:
-    """The process that reads and checks files. One that takes too long or breaks is ended; the next call starts anew."""
+    """Runs the child process. One that takes too long or fails is killed; the next check starts a new one."""
 
     def __init__(self, world: World, errors: str | None = None) -> None:
         self.world, self.errors = world, errors
@@ -40,6 +42,8 @@
         self.stream: Stream | None = None
 
     def check(self, config: Path, given: Mapping[str, str], limit: Time) -> Coro[Bundle]:
+        """Has the files of a configuration read and checked within `limit`. A failure of the check itself is
+        reported as a problem of the bundle."""
         try:
             with self.world.limit(limit) as scope:
                 if self.stream is None:
@@ -47,22 +51,23 @@
                         [sys.executable, "-m", "stackpitch", "checker"], errors=self.errors
                     )
                 self.stream.write(msgspec.json.encode(Asked(str(config), dict(given))) + b"\n")
-                lines = Lines(self.stream)
+                lines = LineReader(self.stream)
                 bundle = msgspec.json.decode((yield from lines.next()), type=Bundle)
                 entries: list[Entry] = []
                 for _ in range(bundle.more):
-                    yield from self.world.pause()  # a large list in many short steps
+                    yield from self.world.pause()  # decodes a large list in many short steps
                     entries += msgspec.json.decode((yield from lines.next()), type=list[Entry])
                 bundle.entries = tuple(entries)
                 return bundle
             assert scope.expired
-            why = f"the check took longer than {limit // 10} ms"
-        except (Lost, OSError, msgspec.DecodeError) as wrong:
-            why = f"the check broke: {wrong}"
+            problem = f"the check took longer than {limit // 10} ms"
+        except (Lost, OSError, msgspec.DecodeError) as error:
+            problem = f"the check failed: {error}"
         yield from self.end()
-        return Bundle({str(config): ""}, [f"{config}: {why}"])
+        return Bundle({str(config): ""}, [f"{config}: {problem}"])
 
     def end(self) -> Coro[None]:
+        """Kills the child process, if there is one, and waits for its end."""
         child, self.child = self.child, None
         if self.stream is not None:
             self.stream.close()
--- a/stackpitch/gateway/roster_manager/files.py
+++ b/stackpitch/gateway/roster_manager/files.py
@@ -1,4 +1,5 @@
-"""The files that a gateway reads its lists and settings from: where they lie, and whether they have changed."""
+"""The files that a gateway reads its lists and settings from: where they are, and whether they have
+changed."""
 
 import os
 from pathlib import Path
@@ -9,53 +10,57 @@
 from stackpitch.settings import Settings
 from stackpitch.settings.made import ticks
 
-Prints = dict[str, Any]  # by file, what tells, without reading, that it is another one or was written
+# By file, what tells without reading it that it was written or replaced; the error number if it can't be
+# examined.
+FileStats = dict[str, Any]
 
 
 def folders(config: Path | None, settings: Settings) -> list[str]:
-    """The folders of all files and of all links on the way to them."""
-    found: dict[str, None] = {}
+    """The folders of all files, and of all symbolic links on the way to them."""
+    paths: dict[str, None] = {}
     for path in files_of(config, settings):
         for _ in range(20):
-            found[os.path.dirname(os.path.abspath(path))] = None
+            paths[os.path.dirname(os.path.abspath(path))] = None
             try:
                 link = os.readlink(path)
             except OSError:
                 break
             path = path.parent / link
-        found[os.path.dirname(os.path.realpath(path))] = None
-    for one in settings.statements:
-        if os.path.isdir(one):
-            found[os.path.abspath(one)] = None
-    return list(found)
+        paths[os.path.dirname(os.path.realpath(path))] = None
+    for folder in settings.statements:
+        if os.path.isdir(folder):
+            paths[os.path.abspath(folder)] = None
+    return list(paths)
 
 
-def prints(config: Path | None, settings: Settings) -> Prints:
-    found: Prints = {}
+def file_stats(config: Path | None, settings: Settings) -> FileStats:
+    """The current state of all files."""
+    stats: FileStats = {}
     for path in files_of(config, settings):
         try:
-            about = os.stat(path)
-            found[str(path)] = about.st_dev, about.st_ino, about.st_size, about.st_mtime_ns, about.st_mode
-        except OSError as wrong:
-            found[str(path)] = wrong.errno
-    return found
+            stat = os.stat(path)
+            stats[str(path)] = stat.st_dev, stat.st_ino, stat.st_size, stat.st_mtime_ns, stat.st_mode
+        except OSError as error:
+            stats[str(path)] = error.errno
+    return stats
 
 
-def quiet(world: World, config: Path | None, settings: Settings, seen: Prints) -> Coro[bool]:
-    """Until the files have not changed for `settle_ms`; False if they did not come to rest."""
+def settled(world: World, config: Path | None, settings: Settings, stats: FileStats) -> Coro[bool]:
+    """Waits until the files have not changed for `settle_ms`; False if they still change after
+    `settle_most_ms`."""
     membership = settings.membership
     end = world.now() + ticks(membership.settle_most_ms)
     while world.now() < end:
         yield from world.sleep(ticks(membership.settle_ms))
-        now = prints(config, settings)
-        if now == seen:
+        current = file_stats(config, settings)
+        if current == stats:
             return True
-        seen = now
+        stats = current
     return False
 
 
-def happened(world: World, watch: Watch | None, limit: int) -> Coro[None]:
-    """Until the watch tells of a change, or `limit` is over."""
+def wait_for_change(world: World, watch: Watch | None, limit: int) -> Coro[None]:
+    """Returns when the watch reports a change, or after `limit`."""
     with world.limit(limit):
         if watch is not None:
             yield from watch.happened()
--- a/stackpitch/gateway/roster_manager/history.py
+++ b/stackpitch/gateway/roster_manager/history.py
@@ -1,4 +1,4 @@
-"""What of lists is kept on disk, and told to operators."""
+"""The lists and verdicts that are persisted on disk and shown to operators."""
 
 from typing import Any
 
@@ -11,64 +11,69 @@
 
 
 class History:
-    """`file` empty: nothing is kept."""
+    """Persists to `file`; nothing if its name is empty."""
 
     def __init__(self, world: World, group: Group, log: Log, metrics: Metrics, file: str) -> None:
         self.world, self.group, self.log, self.metrics = world, group, log, metrics
         self.store = Store(RealFiles(), file) if file else None
 
     def open(self) -> Kept | None:
-        """Gives the list that was in force last."""
+        """Reads the file and returns the list that was in force last."""
         if self.store is None:
             return None
         self.store.open()
-        self._say()
+        self._report_state()
         return self.store.last()
 
     @property
     def state(self) -> str | None:
+        """`good` or what is wrong with the store; None without a store."""
         return None if self.store is None else self.store.trouble or "good"
 
     @property
     def lists(self) -> list[Kept]:
+        """The lists that were in force, oldest first."""
         return self.store.kept if self.store is not None else []
 
     def keep(
-        self, version: int, told: str, entries: tuple[Entry, ...], verdict: Verdict, changed: str
+        self, version: int, digest: str, entries: tuple[Entry, ...], verdict: Verdict, changed: str
     ) -> None:
+        """Persists a list that is in force now. `changed`: how it differs from the one before."""
         self._add(
-            Kept(self.world.wall_ms(), "file", version, told, entries, "; ".join(verdict.reasons), changed)
+            Kept(self.world.wall_ms(), "file", version, digest, entries, "; ".join(verdict.reasons), changed)
         )
 
-    def note(self, word: str, version: int, told: str, reasons: tuple[str, ...]) -> None:
-        self._add(Noted(self.world.wall_ms(), "file", version, told, word, reasons[:20]))
+    def note(self, word: str, version: int, digest: str, reasons: tuple[str, ...]) -> None:
+        """Persists the verdict on a list that did not come into force."""
+        self._add(Noted(self.world.wall_ms(), "file", version, digest, word, reasons[:20]))
 
     def rows(self) -> list[dict[str, Any]]:
+        """All persisted lists and verdicts in the order of time."""
         if self.store is None:
             return []
         lists = [
             {
-                "at_unix_ms": one.at_unix_ms,
+                "at_unix_ms": record.at_unix_ms,
                 "word": "in force",
-                "version": one.version,
-                "digest": one.digest,
-                "servers": len(one.entries),
-                "changed": one.changed,
-                "why": one.why,
+                "version": record.version,
+                "digest": record.digest,
+                "servers": len(record.entries),
+                "changed": record.changed,
+                "why": record.why,
             }
-            for one in self.store.kept
+            for record in self.store.kept
         ]
         notes = [
             {
-                "at_unix_ms": one.at_unix_ms,
-                "word": one.word,
-                "version": one.version,
-                "digest": one.digest,
-                "why": "; ".join(one.reasons),
+                "at_unix_ms": record.at_unix_ms,
+                "word": record.word,
+                "version": record.version,
+                "digest": record.digest,
+                "why": "; ".join(record.reasons),
             }
-            for one in self.store.noted
+            for record in self.store.noted
         ]
-        return sorted([*lists, *notes], key=lambda one: one["at_unix_ms"])
+        return sorted([*lists, *notes], key=lambda row: row["at_unix_ms"])
 
     def _add(self, record: Kept | Noted) -> None:
         store = self.store
@@ -79,11 +84,11 @@
             trouble = store.trouble
             yield from self.world.aside(lambda: store.add(record))
             if store.trouble != trouble:
-                self._say()
+                self._report_state()
 
         self.group.spawn(write(), "keep")
 
-    def _say(self) -> None:
+    def _report_state(self) -> None:
         store = self.store
         assert store is not None
         if store.found:
@@ -91,6 +96,8 @@
             store.found = ""
         self.metrics.store_failing.set(bool(store.trouble))
         if store.trouble:
-            self.log.error("store_trouble", why=store.trouble, meaning="lists are not kept; serving goes on")
+            self.log.error(
+                "store_trouble", why=store.trouble, meaning="lists are not persisted; serving continues"
+            )
         else:
             self.log.info("store_good", file=store.path, lists=len(store.kept))
--- a/stackpitch/gateway/roster_manager/manager.py
+++ b/stackpitch/gateway/roster_manager/manager.py
@@ -1,4 +1,5 @@
-"""Watches the files, has them checked, and hands what is in them on: lists to what is in force, settings to the gateway."""
+"""Watches the files, has them checked, and passes their lists to the active roster and their settings to the
+gateway."""
 
 from collections.abc import Callable, Mapping
 from pathlib import Path
@@ -10,9 +11,9 @@
 from stackpitch.gateway.logs import Log
 from stackpitch.gateway.metrics import Metrics
 from stackpitch.gateway.roster_manager import files
+from stackpitch.gateway.roster_manager.active import ActiveRoster, figures
 from stackpitch.gateway.roster_manager.checker import Checker
 from stackpitch.gateway.roster_manager.history import History
-from stackpitch.gateway.roster_manager.inforce import InForce, figures
 from stackpitch.loop import Coro, Group, Watch, World
 from stackpitch.membership.bundle import Bundle, read_set
 from stackpitch.membership.registrar import Verdict
@@ -22,21 +23,22 @@
 
 T = TypeVar("T")
 UNSETTLED = "the files changed while they were read"
-TRIES = 3  # for files that change while they are read
+MAX_READS = 3  # of files that change while they are read
 
 
-def at_once(coro: Coro[T]) -> T:
-    """Runs what was told not to wait."""
+def run_now(coro: Coro[T]) -> T:
+    """Runs a coroutine that never waits, and returns its result."""
     try:
         next(coro)
     except StopIteration as ended:
         result: T = ended.value
         return result
-    raise AssertionError("it waits")
+    raise AssertionError("the coroutine waits")
 
 
 class RosterManager:
-    """One gateway's lists. `config` None: settings that stand in no file; lists are then read in this process."""
+    """Manages one gateway's lists. `config` None: the settings come from no file, and lists are read in this
+    process."""
 
     def __init__(
         self,
@@ -51,79 +53,78 @@
     ) -> None:
         self.world, self.log, self.host = world, log, host
         self.settings, self.config, self.given = settings, config, dict(given or {})
-        self.kept = History(world, group, log, metrics, settings.kept)
-        self.in_force = InForce(world, log, metrics, host, self.kept, settings)
+        self.persisted = History(world, group, log, metrics, settings.kept)
+        self.active = ActiveRoster(world, log, metrics, host, self.persisted, settings)
         self.checker = Checker(world)
-        self.asked = False
-        self.busy = False
-        self.prints: files.Prints = {}  # of the files as they were before they were read at start
-        self.seen: dict[str, str] = {}  # digests of the files that were checked last
+        self.reload_requested = False
+        self.reloading = False
+        self.stats: files.FileStats = {}  # of the files, from before they were read at start
+        self.digests: dict[str, str] = {}  # of the files that were checked last
         self.restart_wanted: tuple[str, ...] = ()  # settings that differ in the file and need a restart
-        self.new_settings: Callable[[Settings], None] | None = None
-        host.list_wanted = self.ask
+        self.on_new_settings: Callable[[Settings], None] | None = None
+        host.list_wanted = self.request_reload
 
-    # At start, before anything is served: in this process, at once.
+    # At start, in this process and without waiting, before anything is served.
 
     def begin(self) -> None:
-        """Raises BadSettings if neither the files nor what was kept give a list to start with."""
-        last = self.kept.open()
+        """Raises BadSettings if neither the files nor the store give a list to start with."""
+        last = self.persisted.open()
         self.host.begin()
-        self.prints = (
-            self._prints()
-        )  # before reading: what is written meanwhile is another state of the files
+        self.stats = self._file_stats()  # before reading: a file written meanwhile must count as changed
         bundle = read_set(self.config, self.given, self.settings)
-        for _ in range(TRIES):
+        for _ in range(MAX_READS):
             if not bundle.unsettled:
                 break
-            self.prints = self._prints()
+            self.stats = self._file_stats()
             bundle = read_set(self.config, self.given, self.settings)
         if bundle.unsettled:
-            self.asked = True
+            self.reload_requested = True
             bundle.problems.append(UNSETTLED)
         if last is not None:
-            self.in_force.again(last)
-        wrong = at_once(self._settle(bundle, force=False, slices=False))
-        if last is None and wrong is not None:
-            raise BadSettings(f"{wrong}\n{self.settings.roster}: no list to start with")
-        if wrong is not None:
-            self.log.warning("roster_kept", file=self.settings.kept, version=self.in_force.version)
+            self.active.restore(last)
+        problem = run_now(self._apply(bundle, force=False, pauses=False))
+        if last is None and problem is not None:
+            raise BadSettings(f"{problem}\n{self.settings.roster}: no list to start with")
+        if problem is not None:
+            self.log.warning("roster_kept", file=self.settings.kept, version=self.active.version)
 
     def reload_blocking(self, force: bool = False) -> str | None:
-        """Reads and applies in this process; gives what is wrong. For callers that run no watch."""
+        """Reads and applies the files in this process; returns what is wrong. For callers that don't
+        `run`."""
         bundle = read_set(self.config, self.given, self.settings)
-        return at_once(self._settle(bundle, force, slices=False))
+        return run_now(self._apply(bundle, force, pauses=False))
 
     # While serving.
 
-    def ask(self) -> None:
-        """Files are to be read again, whether they seem to have changed or not."""
-        self.asked = True
+    def request_reload(self) -> None:
+        """Has the files read again even if they seem unchanged."""
+        self.reload_requested = True
 
     def run(self) -> Coro[None]:
-        """Watches until it is cancelled."""
+        """Watches the files until it is cancelled."""
         membership = self.settings.membership
         watch = self.world.watch() if membership.watch else None
         if membership.watch and watch is None:
             self.log.warning(
                 "no_watch",
-                why="this machine gives no inotify descriptor; files are looked at instead",
+                why="no inotify descriptor is available; files are polled instead",
                 every_ms=membership.poll_ms,
             )
-        prints = self.prints
+        stats = self.stats
         try:
             while True:
                 if watch is not None:
                     watch.aim(files.folders(self.config, self.settings))
                 yield from self._wait(watch)
-                self.in_force.tick()
-                now = self._prints() if self.settings.membership.watch else prints
-                if now == prints and not self.asked:
+                self.active.tick()
+                current = self._file_stats() if self.settings.membership.watch else stats
+                if current == stats and not self.reload_requested:
                     continue
-                if now != prints and not (
-                    yield from files.quiet(self.world, self.config, self.settings, now)
+                if current != stats and not (
+                    yield from files.settled(self.world, self.config, self.settings, current)
                 ):
                     self.log.debug("unsettled", ms=self.settings.membership.settle_most_ms)
-                prints, self.asked = self._prints(), False
+                stats, self.reload_requested = self._file_stats(), False
                 yield from self.reload()
         finally:
             if watch is not None:
@@ -131,76 +132,77 @@
             yield from self.checker.end()
 
     def _wait(self, watch: Watch | None) -> Coro[None]:
-        due = self.in_force.registrar.due()
+        due = self.active.registrar.due()
         limit = ticks(self.settings.membership.poll_ms)
         if due is not None:
             limit = max(1, min(limit, due - self.world.now()))
-        yield from files.happened(self.world, watch, limit)
+        yield from files.wait_for_change(self.world, watch, limit)
 
-    def _prints(self) -> files.Prints:
-        return files.prints(self.config, self.settings)
+    def _file_stats(self) -> files.FileStats:
+        return files.file_stats(self.config, self.settings)
 
     def reload(self, force: bool = False) -> Coro[str | None]:
-        """Has the files checked, and brings into force what may be; gives what is wrong."""
-        while self.busy:
+        """Has the files checked, and applies what the registrar lets through; returns what is wrong."""
+        while self.reloading:
             yield from self.world.sleep(10)
-        self.busy = True
+        self.reloading = True
         try:
-            for _ in range(TRIES):
-                bundle = yield from self._checked()
+            for _ in range(MAX_READS):
+                bundle = yield from self._read_files()
                 if not bundle.unsettled:
                     break
                 yield from self.world.sleep(ticks(self.settings.membership.settle_ms))
             if bundle.unsettled:
-                self.asked = True
+                self.reload_requested = True
                 return UNSETTLED
-            return (yield from self._settle(bundle, force, slices=True))
+            return (yield from self._apply(bundle, force, pauses=True))
         finally:
-            self.busy = False
+            self.reloading = False
 
-    def _checked(self) -> Coro[Bundle]:
+    def _read_files(self) -> Coro[Bundle]:
         if self.config is None:
             return read_set(None, self.given, self.settings)
         return (
             yield from self.checker.check(self.config, self.given, ticks(self.settings.membership.check_ms))
         )
 
-    def _settle(self, bundle: Bundle, force: bool, slices: bool) -> Coro[str | None]:
-        """With `slices` the loop's others get their turn between its parts; a list still comes into force whole."""
-        ours, same = self.in_force, bundle.seen == self.seen
-        self.seen = bundle.seen
+    def _apply(self, bundle: Bundle, force: bool, pauses: bool) -> Coro[str | None]:
+        """Returns what is wrong. `pauses`: whether other tasks may run between its parts; a list is still
+        applied all at once."""
+        active, same = self.active, bundle.seen == self.digests
+        self.digests = bundle.seen
         if bundle.problems:
-            if not same or tuple(bundle.problems) != ours.bad:
-                ours.rejected(tuple(bundle.problems), bundle.version, bundle.digest)
+            if not same or tuple(bundle.problems) != active.problems:
+                active.rejected(tuple(bundle.problems), bundle.version, bundle.digest)
                 self.host.list_failed()
             return "\n".join(bundle.problems)
         if self.config is not None:
-            self._take_settings(check(Settings, msgspec.json.decode(bundle.settings), self.config))
-        if slices:
+            self._apply_settings(check(Settings, msgspec.json.decode(bundle.settings), self.config))
+        if pauses:
             yield from self.world.pause()
-        verdict = ours.propose(bundle, force)
-        if slices:
+        verdict = active.propose(bundle, force)
+        if pauses:
             yield from self.world.pause()
         if verdict.word == "rejected":
-            if not same or verdict.reasons != ours.bad:
-                ours.rejected(verdict.reasons, bundle.version, bundle.digest)
+            if not same or verdict.reasons != active.problems:
+                active.rejected(verdict.reasons, bundle.version, bundle.digest)
             return "\n".join(verdict.reasons)
-        ours.bad = ()
+        active.problems = ()
         if verdict.word == "held back":
-            ours.held_back(verdict, bundle)
-        if slices:
+            active.held_back(verdict, bundle)
+        if pauses:
             yield from self.world.pause()
-        if verdict.word == "repeated" and not verdict.reasons:  # the same servers, said by a later version
-            ours.unchanged(verdict, bundle.version)
-        changed = ours.changed(verdict)
-        if slices:
+        if verdict.word == "repeated" and not verdict.reasons:  # the same servers under a later version
+            active.unchanged(verdict, bundle.version)
+        changed = active.changed(verdict)
+        if pauses:
             yield from self.world.pause()
-        if verdict.entries is not None:  # a confirmation, rollback or step may have come between the parts
-            verdict = Verdict(verdict.word, verdict.reasons, tuple(ours.registrar.in_force.values()))
-        ours.take(verdict, bundle.version, bundle.digest, changed=changed)
+        if verdict.entries is not None:  # a confirmation, rollback or step may have come during a pause
+            verdict = Verdict(verdict.word, verdict.reasons, tuple(active.registrar.in_force.values()))
+        active.apply(verdict, bundle.version, bundle.digest, changed=changed)
         return None
 
-    def _take_settings(self, new: Settings) -> None:
+    def _apply_settings(self, new: Settings) -> None:
         old = self.settings
         differ = {name for name in Settings.model_fields if getattr(old, name) != getattr(new, name)}
         live, rest = differ & LIVE, tuple(sorted(differ - LIVE))
@@ -210,25 +212,29 @@
                 self.log.warning("restart_wanted", settings=rest)
         if live:
             self.settings = old.model_copy(update={name: getattr(new, name) for name in live})
-            self.in_force.registrar.figures = figures(self.settings)
+            self.active.registrar.figures = figures(self.settings)
             self.log.info("settings", changed=sorted(live))
-            if self.new_settings is not None:
-                self.new_settings(self.settings)
+            if self.on_new_settings is not None:
+                self.on_new_settings(self.settings)
 
-    # What operators ask.
+    # Operators' requests.
 
     def status(self) -> dict[str, Any]:
-        return self.in_force.status() | {
+        """The list in force, digests of the files, and the state of the store."""
+        return self.active.status() | {
             "restart_wanted": list(self.restart_wanted),
-            "files": self.seen,
-            "store": self.kept.state,
+            "files": self.digests,
+            "store": self.persisted.state,
         }
 
     def history(self) -> list[dict[str, Any]]:
-        return self.kept.rows()
+        """All persisted lists and verdicts."""
+        return self.persisted.rows()
 
-    def confirm(self, told: str) -> str | None:
-        return self.in_force.confirm(told)
+    def confirm(self, digest: str) -> str | None:
+        """Confirms the list that is held back. Returns an error message or None."""
+        return self.active.confirm(digest)
 
-    def rollback(self, told: str) -> str | None:
-        return self.in_force.rollback(told)
+    def rollback(self, digest: str) -> str | None:
+        """Goes back to a persisted list, see `ActiveRoster.rollback`."""
+        return self.active.rollback(digest)
--- a/stackpitch/gateway/serve.py
+++ b/stackpitch/gateway/serve.py
@@ -1,4 +1,4 @@
-"""Puts a gateway together from its settings and runs it until it is told to stop."""
+"""Builds a gateway from its settings and runs it until it is signalled to stop."""
 
 import signal
 from collections.abc import Callable, Mapping
@@ -27,14 +27,16 @@
 
 
 def build_reading(settings: Settings) -> Reading:
-    made = products(settings)
-    models = {model: made[name] for name, one in settings.products.items() for model in one.models}
+    """What the listener needs to take a generation's facts from a request."""
+    by_name = products(settings)
+    models = {model: by_name[name] for name, part in settings.products.items() for model in part.models}
     known = customers(settings)
-    keys = {key: known[name] for name, one in settings.customers.items() for key in one.keys}
-    return Reading(made, models, keys, settings.door.bytes_per_tok, settings.door.default_limit_tok)
+    keys = {key: known[name] for name, part in settings.customers.items() for key in part.keys}
+    return Reading(by_name, models, keys, settings.door.bytes_per_tok, settings.door.default_limit_tok)
 
 
 def build_bounds(settings: Settings) -> Bounds:
+    """The limits of connections, answers and waits."""
     engines, door = settings.engines, settings.door
     return Bounds(
         pool=engines.pool,
@@ -53,6 +55,7 @@
 
 
 def build_host(world: World, group: Group, settings: Settings, log: logs.Log, metrics: Metrics) -> Host:
+    """The host with its decision module."""
     load = settings.load
     return Host(
         world,
@@ -84,25 +87,26 @@
 ) -> Coro[None]:
     """Runs a gateway. Raises BadSettings without a list to start with, OSError on a port that is taken.
 
-    SIGTERM and SIGINT: no new work; what is held is finished, and answered after `stop.finish_ms`. SIGHUP: the files
-    are read anew. `ready` is told the ports of door and admin. `config` and `given`: where the settings come from.
+    SIGTERM and SIGINT: no new requests are accepted; those in progress are finished, and after
+    `stop.finish_ms` the rest is answered with a refusal. SIGHUP: the files are read again. `ready` is called
+    with the ports of the listener and of the admin port. `config` and `given`: where the settings come from.
     """
     log = logs.make_logger(settings.name, settings.logs.level, settings.logs.form)
     metrics = Metrics()
 
-    def on_hog(name: str, spent: Time) -> None:
+    def on_long_step(name: str, spent: Time) -> None:
         metrics.long_steps.inc()
         log.warning("hog", task=name, ms=spent / 10)
 
-    world.on_hog, world.hog_limit = on_hog, ticks(settings.logs.hog_ms)
+    world.on_hog, world.hog_limit = on_long_step, ticks(settings.logs.hog_ms)
     caught = world.signals(signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
     door_settings = settings.door
 
     def body(group: Group) -> Coro[None]:
-        carrier = build_host(world, group, settings, log, metrics)
+        host = build_host(world, group, settings, log, metrics)
         door = Door(
             world,
-            carrier,
+            host,
             log,
             metrics,
             build_reading(settings),
@@ -116,49 +120,49 @@
             stall=ticks(door_settings.stall_ms),
             margin=ticks(door_settings.answer_margin_ms),
         )
-        manager = RosterManager(world, group, log, metrics, carrier, settings, config, given)
+        manager = RosterManager(world, group, log, metrics, host, settings, config, given)
 
-        def take(new: Settings) -> None:
+        def apply_settings(new: Settings) -> None:
             door.reading = build_reading(new)
-            carrier.prefer(preferences(new, carrier.brain.preferences.epoch))
+            host.prefer(preferences(new, host.brain.preferences.epoch))
 
-        manager.new_settings = take
+        manager.on_new_settings = apply_settings
         manager.begin()
         listener = world.listen((door_settings.host, door_settings.port))
         admin_listener = world.listen((settings.admin.host, settings.admin.port))
         group.spawn(door.serve(group, listener), "door")
-        admin = Admin(world, _admin_routes(carrier, manager, metrics))
-        duties = _duties(world, settings, log, carrier, door, admin)
+        admin = Admin(world, _admin_routes(host, manager, metrics))
+        duties = _build_duties(world, settings, log, host, door, admin)
         if duties is not None:
             group.spawn(duties.run(), "duties")
         group.spawn(admin.serve(group, admin_listener), "admin")
-        group.spawn(_sweep(world, carrier), "sweep")
+        group.spawn(_sweep(world, host), "sweep")
         group.spawn(manager.run(), "keeper")
         log.info(
             "serving",
             door=listener.address[1],
             admin=admin_listener.address[1],
-            version=carrier.roster.version,
+            version=host.roster.version,
         )
         if ready is not None:
             ready(listener.address[1], admin_listener.address[1])
         while (number := (yield from caught())) == signal.SIGHUP:
-            group.spawn(_told(manager), "reload")
-        log.info("stopping", signal=number, held=len(carrier.asks))
+            group.spawn(_reload(manager), "reload")
+        log.info("stopping", signal=number, held=len(host.asks))
         listener.finish()
         door.close_idle()
         if duties is not None:
             yield from duties.leave()  # bounded by the limit of one call between gateways
         task = world.current
-        carrier.emptied = task.wake
+        host.emptied = task.wake
         with world.limit(ticks(settings.stop.finish_ms)):
-            while door.accepting or carrier.asks or carrier.calls:
+            while door.accepting or host.asks or host.calls:
                 yield from world.sleep(50)
-        carrier.emptied = None
-        left = len(carrier.asks)
-        carrier.stop()
+        host.emptied = None
+        left = len(host.asks)
+        host.stop()
         with world.limit(SECOND):
-            while carrier.asks or carrier.calls or door.connections:
+            while host.asks or host.calls or door.connections:
                 yield from world.sleep(20)
         log.info("stopped", answered_at_the_end=left)
         group.cancel()
@@ -166,74 +170,74 @@
     yield from world.group(body)
 
 
-def _duties(
-    world: World, settings: Settings, log: logs.Log, carrier: Host, door: Door, admin: Admin
+def _build_duties(
+    world: World, settings: Settings, log: logs.Log, host: Host, door: Door, admin: Admin
 ) -> "Duties | None":
-    """None, and not even imported, unless settings name voters."""
+    """None, without importing them, unless the settings name voting replicas."""
     if not settings.duties.voters:
         return None
-    from stackpitch.gateway.duties import duties
+    from stackpitch.gateway.duties import build_duties
 
-    return duties(world, settings, log, carrier, door, admin)
+    return build_duties(world, settings, log, host, door, admin)
 
 
-def _told(manager: RosterManager) -> Coro[None]:
+def _reload(manager: RosterManager) -> Coro[None]:
     yield from manager.reload()
 
 
 def _admin_routes(
-    carrier: Host, manager: RosterManager, metrics: Metrics
+    host: Host, manager: RosterManager, metrics: Metrics
 ) -> dict[tuple[str, str], RouteHandler]:
-    def answered(wrong: str | None) -> tuple[int, bytes]:
-        body = {"version": carrier.roster.version, "rejected": wrong} | manager.status()
-        return (200 if wrong is None else 422), msgspec.json.encode(body)
+    def answered(error: str | None) -> tuple[int, bytes]:
+        body = {"version": host.roster.version, "rejected": error} | manager.status()
+        return (200 if error is None else 422), msgspec.json.encode(body)
 
-    def text(asked: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
+    def render_metrics(query: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
         yield from ()
-        metrics.relayed_bytes.set(carrier.relayed)
-        metrics.connections.labels("engines").set(sum(one.open for one in carrier.pools.values()))
+        metrics.relayed_bytes.set(host.relayed)
+        metrics.connections.labels("engines").set(sum(pool.open for pool in host.pools.values()))
         return 200, metrics.render()
 
-    def roster(asked: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
+    def roster(query: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
         yield from ()
         servers = [
             {
-                "name": one.name,
-                "kind": one.kind,
-                "zone": one.zone,
-                "cell": one.cell,
-                "state": one.state,
-                "address": list(carrier.roster.addresses[one]),
+                "name": server.name,
+                "kind": server.kind,
+                "zone": server.zone,
+                "cell": server.cell,
+                "state": server.state,
+                "address": list(host.roster.addresses[server]),
             }
-            for one in carrier.roster.addresses
+            for server in host.roster.addresses
         ]
-        return 200, msgspec.json.encode({"version": carrier.roster.version, "servers": servers})
+        return 200, msgspec.json.encode({"version": host.roster.version, "servers": servers})
 
-    def status(asked: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
+    def status(query: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
         yield from ()
         return 200, msgspec.json.encode(manager.status())
 
-    def history(asked: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
+    def history(query: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
         yield from ()
         return 200, msgspec.json.encode(manager.history())
 
-    def reload(asked: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
-        return answered((yield from manager.reload(force=asked.get("force") == "1")))
+    def reload(query: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
+        return answered((yield from manager.reload(force=query.get("force") == "1")))
 
-    def peer(asked: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
+    def peer(query: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
         yield from ()
-        return (200 if carrier.heard(asked.get("from", ""), asked.get("word", "")) else 400), b"{}"
+        return (200 if host.heard(query.get("from", ""), query.get("word", "")) else 400), b"{}"
 
-    def confirm(asked: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
+    def confirm(query: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
         yield from ()
-        return answered(manager.confirm(asked.get("digest", "")))
+        return answered(manager.confirm(query.get("digest", "")))
 
-    def rollback(asked: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
+    def rollback(query: Mapping[str, str]) -> Coro[tuple[int, bytes]]:
         yield from ()
-        return answered(manager.rollback(asked.get("digest", "")))
+        return answered(manager.rollback(query.get("digest", "")))
 
     return {
-        ("GET", "/metrics"): text,
+        ("GET", "/metrics"): render_metrics,
         ("GET", "/roster"): roster,
         ("POST", "/roster/reload"): reload,
         ("GET", "/fleet"): status,
@@ -244,8 +248,8 @@
     }
 
 
-def _sweep(world: World, carrier: Host) -> Coro[None]:
+def _sweep(world: World, host: Host) -> Coro[None]:
     while True:
         yield from world.sleep(SECOND)
-        for pool in carrier.pools.values():
+        for pool in host.pools.values():
             pool.sweep()
--- a/stackpitch/gateway/token_ids.py
+++ b/stackpitch/gateway/token_ids.py
@@ -1,5 +1,8 @@
-"""Token ids at the door: which vocabulary they are written for, and what they are on servers of each. The duty decides
-(`duties.vocabulary.acting`), this carries it."""
+"""Translates token ids in requests: which vocabulary they are written for, and what they are on servers of
+each.
+
+The coordinated task decides (`duties.vocabulary.acting`); this module connects it to requests and to the
+admin port."""
 
 from typing import Any
 
@@ -15,35 +18,35 @@
 from stackpitch.loop import Coro
 from stackpitch.wire import http
 
-Spoken = dict[str, dict[str, msgspec.Raw]]
+TranslatedFields = dict[str, dict[str, msgspec.Raw]]  # by vocabulary, then by field of the body
 
 
 class TokenIdTranslator:
-    """`told`: of which list the work was told last."""
+    """`list_number`: of the list that the task was last notified of."""
 
     def __init__(self, work: VocabularyWork, roster: Roster) -> None:
-        self.work, self.roster, self.told = work, roster, -1
+        self.work, self.roster, self.list_number = work, roster, -1
 
-    def _listed(self) -> None:
-        if self.told != self.roster.lists_applied:
-            self.told = self.roster.lists_applied
+    def _notify_list(self) -> None:
+        if self.list_number != self.roster.lists_applied:
+            self.list_number = self.roster.lists_applied
             self.work.acting.listed(
-                {name: one.vocabulary or None for name, one in self.roster.entries.items()}
+                {name: entry.vocabulary or None for name, entry in self.roster.entries.items()}
             )
 
-    def spoken(self, facts: Facts) -> Spoken | None:
-        """By vocabulary that it may go to, the fields that replace those of the body; None: it says no token ids. Takes the
-        fields that are ours out of the body. Raises BadRequest, with what it means and what to do, or
-        BadMessage while it is not known here yet."""
-        self._listed()
+    def spoken(self, facts: Facts) -> TranslatedFields | None:
+        """By each vocabulary that the request may be sent to, the fields that replace those of the body; None
+        if it has no token ids. Removes the gateway's own fields from the body. Raises BadRequest, with its
+        meaning and remedy, or BadMessage while the vocabulary's files have not been read yet."""
+        self._notify_list()
         customer = facts.customer.name if facts.customer is not None else None
         try:
             asked = self.work.written.read(facts.fields, customer, facts.product.name)
             narrowed = self.work.acting.decide(asked)
-        except FilesUnread as wrong:
-            raise http.BadMessage(503, f"{wrong}. {wrong.remedy}") from None  # may be asked again
-        except VocabularyError as wrong:
-            raise BadRequest(getattr(wrong, "field", "token ids"), f"{wrong}. {wrong.remedy}") from None
+        except FilesUnread as error:
+            raise http.BadMessage(503, f"{error}. {error.remedy}") from None  # the client may retry
+        except VocabularyError as error:
+            raise BadRequest(getattr(error, "field", "token ids"), f"{error}. {error.remedy}") from None
         if narrowed is None:
             return None
         return {
@@ -53,16 +56,17 @@
 
 
 def count_vocabularies(roster: Roster) -> dict[str, int]:
-    """How many listed servers have which vocabulary."""
-    found: dict[str, int] = {}
-    for one in roster.entries.values():
-        if one.vocabulary:
-            found[one.vocabulary] = found.get(one.vocabulary, 0) + 1
-    return found
+    """The number of listed servers by vocabulary."""
+    counts: dict[str, int] = {}
+    for entry in roster.entries.values():
+        if entry.vocabulary:
+            counts[entry.vocabulary] = counts.get(entry.vocabulary, 0) + 1
+    return counts
 
 
 def routes(work: VocabularyWork, confirm: RouteHandler) -> dict[tuple[str, str], RouteHandler]:
-    """Operators' words on a change; a confirmation comes by the route that confirms lists, told apart by its digest."""
+    """The admin routes for operators' requests about a change of vocabulary. Confirmations share the route
+    that confirms lists, `confirm`, and are told apart by their digest."""
 
     def answered(asking: Asking) -> Coro[tuple[int, bytes]]:
         answer: Answer = yield from work.ask(asking)
@@ -70,31 +74,31 @@
             {"rejected": None if answer.yes else answer.word}
         )
 
-    def shown(asked: Any) -> Coro[tuple[int, bytes]]:
+    def show(query: Any) -> Coro[tuple[int, bytes]]:
         yield from ()
-        told = work.known.told
-        return 200, msgspec.json.encode(told.change if told is not None else {"word": "none"})
+        known = work.known.told
+        return 200, msgspec.json.encode(known.change if known is not None else {"word": "none"})
 
-    def announce(asked: Any) -> Coro[tuple[int, bytes]]:
-        return (yield from answered(Asking("announce", old=asked.get("old", ""), new=asked.get("new", ""))))
+    def announce(query: Any) -> Coro[tuple[int, bytes]]:
+        return (yield from answered(Asking("announce", old=query.get("old", ""), new=query.get("new", ""))))
 
-    def call_off(asked: Any) -> Coro[tuple[int, bytes]]:
-        return (yield from answered(Asking("call off", why=asked.get("why", ""))))
+    def call_off(query: Any) -> Coro[tuple[int, bytes]]:
+        return (yield from answered(Asking("call off", why=query.get("why", ""))))
 
-    def confirmed(asked: Any) -> Coro[tuple[int, bytes]]:
-        told, digest = work.known.told, asked.get("digest", "")
+    def confirm_either(query: Any) -> Coro[tuple[int, bytes]]:
+        known, digest = work.known.told, query.get("digest", "")
         if (
-            told is not None
-            and told.change.summary is not None
+            known is not None
+            and known.change.summary is not None
             and digest
-            and told.change.summary.digest == digest
+            and known.change.summary.digest == digest
         ):
             return (yield from answered(Asking("confirm", verdict=digest)))
-        return (yield from confirm(asked))
+        return (yield from confirm(query))
 
     return {
-        ("GET", "/vocabulary"): shown,
+        ("GET", "/vocabulary"): show,
         ("POST", "/vocabulary/announce"): announce,
         ("POST", "/vocabulary/call-off"): call_off,
-        ("POST", "/fleet/confirm"): confirmed,
+        ("POST", "/fleet/confirm"): confirm_either,
     }
--- a/stackpitch/platform/__init__.py
+++ b/stackpitch/platform/__init__.py
@@ -1,1 +1,2 @@
-"""The platform's HTTP protocol: a second front end beside the OpenAI-style one, on the same event loop and host."""
+"""The platform's HTTP protocol: a second front end beside the OpenAI-style one, on the same event loop and
+host."""
--- a/stackpitch/platform/discovery.py
+++ b/stackpitch/platform/discovery.py
@@ -1,8 +1,7 @@
 """Follows discovery's list of servers by long polling and applies each update to the host.
 
-After a failure the complete list is requested, as that is answered without waiting. Such attempts overlap; `watching`
-defines their timing and the bound that it keeps.
-"""
+After a failure the complete list is requested, as that is answered without waiting. Such attempts overlap;
+`watching` defines their timing and the bound that it keeps."""
 
 from collections import deque
 from collections.abc import Mapping
@@ -28,14 +27,16 @@
 
 
 class BadAnswer(Exception):
-    """Discovery's answer is not a valid list; the message says what came. The connection that it came on is closed."""
+    """Discovery's answer is not a valid list; the message says what came. The connection that it came on is
+    closed."""
 
     allowed = f"status 200 and a list as JSON of at most {MAX_LIST} bytes"
     remedy = "check which service answers at discovery's address; the current list stays in force"
 
 
 class Discovery:
-    """`entries` is the list in force by name: members that are removed, or missing from a complete list, are dropped.
+    """`entries` is the list in force by name: members that are removed, or missing from a complete list, are
+    dropped.
 
     `logged_causes`: causes logged since the last list; emptied by the next.
     """
@@ -67,8 +68,8 @@
                 self.scope.cancel()
 
     def apply(self, update: platform.Listed, current: bool = False) -> None:
-        """Applies an update. An invalid member is left out; if it was listed before it keeps its previous entry.
-        `current`: the update is discovery's present state."""
+        """Applies an update. An invalid member is left out; if it was listed before it keeps its previous
+        entry. `current`: the update is discovery's present state."""
         before = dict(self.entries)
         if update.complete:
             self.entries, self.unknown = {}, {}
@@ -116,7 +117,8 @@
         return False
 
     def set_kinds(self, kinds: Mapping[str, tuple[Role, int]]) -> None:
-        """Applies new kinds of servers: the complete list is applied again, with the members whose kind is known now."""
+        """Applies new kinds of servers: the complete list is applied again, with the members whose kind is
+        known now."""
         self.host.roster.set_kinds(kinds)
         listed = [*self.entries.values(), *self.unknown.values()]
         self.entries = {entry.name: entry for entry in listed if self._kind_known(entry)}
@@ -152,8 +154,8 @@
     def _recover(self) -> Coro[Stream]:
         """Requests the complete list until it arrives, applies it and returns the connection that it came on.
 
-        A silent attempt is not waited for: the next starts in parallel, and the first complete list cancels the others.
-        A partial list is applied for the members that it has, but it doesn't end the recovery.
+        A silent attempt is not waited for: the next starts in parallel, and the first complete list cancels
+        the others. A partial list is applied for the members that it has, but it doesn't end the recovery.
         """
         results: list[tuple[Stream, platform.Listed]] = []
 
@@ -220,8 +222,8 @@
         self.revision, self.list_received = update.revision, True
 
     def _watch(self, stream: Stream) -> Coro[None]:
-        """Watches for changes. Each answer is followed by the next call, on a new connection if discovery closed the old
-        one."""
+        """Watches for changes. Each answer is followed by the next call, on a new connection if discovery
+        closed the old one."""
         update: platform.Listed | None
         try:
             while True:
@@ -252,7 +254,8 @@
             stream.close()
 
     def _call(self, stream: Stream, target: str) -> Coro[tuple[platform.Listed, bool]]:
-        """Returns the answer and whether the connection can be used for another call. Raises Lost, BadAnswer."""
+        """Returns the answer and whether the connection can be used for another call. Raises Lost,
+        BadAnswer."""
         host, port = self.target
         reader = http.ResponseReader(1 << 14, MAX_LIST)
         stream.write(http.request("GET", target, f"{host}:{port}", b""))
--- a/stackpitch/platform/lines.py
+++ b/stackpitch/platform/lines.py
@@ -1,4 +1,5 @@
-"""JSON log lines and outcome counts without the logging and metrics libraries, to save memory on small machines."""
+"""JSON log lines and outcome counts without the logging and metrics libraries, to save memory on small
+machines."""
 
 import sys
 import traceback
@@ -14,9 +15,8 @@
 class JsonLog:
     """Writes JSON lines to standard error; has the methods of the gateway's log. `debug` writes nothing.
 
-    `log` only counts generations, by product and by how they ended, with the outcome of the last leg where the
-    generation failed. `log_outcomes` writes these counts.
-    """
+    `log` only counts generations, by product and by how they ended, with the outcome of the last leg where
+    the generation failed. `log_outcomes` writes these counts."""
 
     def __init__(self, gateway: str) -> None:
         self.gateway = gateway
@@ -60,7 +60,8 @@
             )
 
     def reset_outcomes(self) -> None:
-        """Logs the outcomes so far and starts at zero: under new settings even a product of the same name is another."""
+        """Logs the outcomes so far and starts at zero: under new settings even a product of the same name is
+        another."""
         self.log_outcomes()
         self.outcomes, self.logged = {}, 0
 
--- a/stackpitch/platform/listener.py
+++ b/stackpitch/platform/listener.py
@@ -38,8 +38,8 @@
         self.over_limit = self._excess() > 0
 
     def _takes_until(self) -> Time | None:
-        """Evaluated for each request: a request may be read in the same turn of the event loop as the stop signal, before
-        anything has reacted to the signal."""
+        """Evaluated for each request: a request may be read in the same turn of the event loop as the stop
+        signal, before anything has reacted to the signal."""
         signalled = self.stop_signalled_at()
         return None if signalled is None else takes_until(signalled)
 
--- a/stackpitch/platform/plan.py
+++ b/stackpitch/platform/plan.py
@@ -1,8 +1,7 @@
 """Derives what a gateway works with from its configuration, before anything is changed.
 
-That is: shares of descriptors and memory, time limits, and the parts of the settings that listener, host and decision
-module take.
-"""
+That is: shares of descriptors and memory, time limits, and the parts of the settings that listener, host and
+decision module take."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
--- a/stackpitch/platform/reloading.py
+++ b/stackpitch/platform/reloading.py
@@ -1,10 +1,10 @@
 """Reloads the configuration on SIGHUP while the gateway runs.
 
-The new configuration is worked out completely before anything changes, so one that can't be used changes nothing. If
-the settings are the same, the decision module, what it has learnt and all connections stay. If they differ, requests
-that arrive later meet only the new classes, tenants and limits and a new module. Requests in progress stay with the
-module and the settings that they arrived under (`gateway.host.told.ArrivalSettings`).
-"""
+The new configuration is worked out completely before anything changes, so one that can't be used changes
+nothing. If the settings are the same, the decision module, what it has learnt and all connections stay. If
+they differ, requests that arrive later meet only the new classes, tenants and limits and a new module.
+Requests in progress stay with the module and the settings that they arrived under
+(`gateway.host.told.ArrivalSettings`)."""
 
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
@@ -47,7 +47,8 @@
         self.host, self.budget, self.door, self.discovery = host, budget, door, discovery
 
     def reload_patiently(self) -> Coro[None]:
-        """Retries while the file can't be read or is still being written, as nobody sends the signal again."""
+        """Retries while the file can't be read or is still being written, as nobody sends the signal
+        again."""
         for attempt in range(TRIES):
             try:
                 self.reload()
@@ -86,7 +87,8 @@
         return msgspec.structs.replace(conf, **fixed)
 
     def _apply_settings(self, new: Plan) -> None:
-        """Applies classes, tenants, kinds and the module's arguments. The counts of the old classes are logged first."""
+        """Applies classes, tenants, kinds and the module's arguments. The counts of the old classes are
+        logged first."""
         self.log.reset_outcomes()
         self.log.log_counters(self.host.counters)
         self.door.products, self.door.customers = new.products, new.customers
--- a/stackpitch/platform/request.py
+++ b/stackpitch/platform/request.py
@@ -9,7 +9,8 @@
 
 
 class PlatformRequest(Ask):
-    """`headers`: the end-to-end fields that are forwarded to servers. Headers and body are dropped with the final answer."""
+    """`headers`: the end-to-end fields that are forwarded to servers. Headers and body are dropped with the
+    final answer."""
 
     def __init__(
         self,
@@ -52,7 +53,8 @@
             self._final("streamed")
 
     def refuse(self, status: int, code: str, message: str, again: bool, retry_after: Time = 0) -> None:
-        """429 promises that a retry is safe, so any refusal that can't promise this must be neither 429 nor 503."""
+        """429 promises that a retry is safe, so any refusal that can't promise this must be neither 429 nor
+        503."""
         if self.answered:
             return
         headers = [("retry-after", f"{retry_after / 10_000:.3f}")] if again and retry_after else []
@@ -66,9 +68,8 @@
     def break_off(self, code: str, message: str) -> None:
         """Ends the connection without the last chunk, as the protocol has no error event.
 
-        Only the sending side is closed: a full close would drop data that the client has not read yet. The listener
-        closes the rest.
-        """
+        Only the sending side is closed: a full close would drop data that the client has not read yet. The
+        listener closes the rest."""
         if not self.answered:
             self.cut = True
             if self.client is not None:
--- a/stackpitch/platform/server_client.py
+++ b/stackpitch/platform/server_client.py
@@ -1,4 +1,5 @@
-"""The gateway's side of the platform's server protocol: legs, reservations, and the release of held KV state."""
+"""The gateway's side of the platform's server protocol: legs, reservations, and the release of held KV
+state."""
 
 from stackpitch.gateway.ask import Ask
 from stackpitch.gateway.bounds import Bounds
@@ -14,7 +15,8 @@
 
 
 class PlatformServerClient:
-    """`gateway.host.Front` for the platform. Any running server releases all that any server holds for a generation."""
+    """`gateway.host.Front` for the platform. Any running server releases all that any server holds for a
+    generation."""
 
     host: Host
 
@@ -23,7 +25,8 @@
         return PlatformLeg(self.host, ask, leg, limit).run()
 
     def hold(self, ask: Ask, leg: Leg, server: Server) -> Coro[bool]:
-        """Requests a reservation once the read's last byte is written, as the server may know of the read only then."""
+        """Requests a reservation once the read's last byte is written, as the server may know of the read
+        only then."""
         assert isinstance(ask, PlatformRequest)
         while ask.sent_leg is not leg:
             if leg.outcome is not None:
@@ -52,8 +55,8 @@
         ask.may_hold_state, ask.held_since = False, None
 
     def release_unused(self, ask: Ask) -> None:
-        """A server doesn't release state that an attempt which has reached it waits for, so some state may still be held
-        when that attempt ends."""
+        """A server doesn't release state that an attempt which has reached it waits for, so some state may
+        still be held when that attempt ends."""
         self._release(ask)
 
     def release(self, ask: Ask) -> None:
@@ -73,8 +76,8 @@
                 ask.read_outcome_unknown = False
 
     def _second_release(self, ask: PlatformRequest, bounds: Bounds) -> Coro[None]:
-        """Releases what a read may have left after the first release, unless a stream has started since, which releases it.
-        Waits while an attempt is in progress, whose KV state the release would destroy."""
+        """Releases what a read may have left after the first release, unless a stream has started since,
+        which releases it. Waits while an attempt is in progress, whose KV state the release would destroy."""
         pause = release_again(bounds.release)
         yield from self.host.world.sleep(pause)
         while ask.gen.out():
--- a/stackpitch/platform/watching.py
+++ b/stackpitch/platform/watching.py
@@ -1,9 +1,9 @@
-"""The timing of calls to discovery, all derived from the one bound within which a change has to be known. Pure.
+"""The timing of calls to discovery, all derived from the one bound within which a change has to be known.
+Pure.
 
-A change has to be known `MAX_STALENESS` after discovery had it and could be reached. Within that time must fit a watch
-that goes silent as soon as it is sent, or a discovery that returns just after an attempt began, then
-`MAX_FAILED_ATTEMPTS` failed attempts and a slow answer.
-"""
+A change has to be known `MAX_STALENESS` after discovery had it and could be reached. Within that time must
+fit a watch that goes silent as soon as it is sent, or a discovery that returns just after an attempt began,
+then `MAX_FAILED_ATTEMPTS` failed attempts and a slow answer."""
 
 from dataclasses import dataclass
 from zlib import crc32
@@ -43,8 +43,8 @@
         return self.pause + sum(self.gap(attempt) for attempt in range(MAX_FAILED_ATTEMPTS)) + self.answer
 
     def back(self) -> Time:
-        """Worst case from discovery's return after a long outage, just after a failed attempt began, to the complete
-        list."""
+        """Worst case from discovery's return after a long outage, just after a failed attempt began, to the
+        complete list."""
         return (1 + MAX_FAILED_ATTEMPTS) * self.gaps[-1] + self.answer
 
     def margin(self) -> Time:
@@ -58,7 +58,8 @@
 
 
 def watch_times(spread: float) -> WatchTimes:
-    """`spread`: from 0 to 1, see `gateway_spread`. It makes the attempts of different gateways drift apart."""
+    """`spread`: from 0 to 1, see `gateway_spread`. It makes the attempts of different gateways drift
+    apart."""
     unit = MAX_STALENESS // 30
     gaps = tuple(int(count * unit * (MIN_GAP_FACTOR + (1 - MIN_GAP_FACTOR) * spread)) for count in (1, 2, 4))
     return WatchTimes(
--- a/stackpitch/rehearse/broken/gateways.py
+++ b/stackpitch/rehearse/broken/gateways.py
@@ -43,8 +43,8 @@
     """Servers that drain or are gone stay ready in the module's eyes."""
     make = Roster._update_server
 
-    def ready(self: Roster, one: Entry) -> Server:
-        server = make(self, one)
+    def ready(self: Roster, entry: Entry) -> Server:
+        server = make(self, entry)
         server.state = "ready"
         return server
 
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -123,7 +123,7 @@
         counters.ended(gen, "streamed", number)
     assert len(counters.by_product) == 3
     assert sum(
-        len(one.counts) for of in counters.by_product.values() for one in of.waits.values()
+        len(one.counts) for of in counters.by_product.values() for one in of.latencies.values()
     ) == 3 * 4 * len(BUCKET_EDGES)
     assert [line["ended"] for line in counters.take_lines()] == [10_000] * 3
     assert counters.take_lines() == [] and not counters.by_product
