--- a/stackpitch/gateway/duties.py
+++ b/stackpitch/gateway/duties.py
@@ -39,13 +39,15 @@
     )
 
 
-def build_duties(world: World, settings: Settings, log: Log, host: Host, door: Door, admin: Admin) -> Duties:
+def build_duties(
+    world: World, settings: Settings, log: Log, host: Host, client_listener: Door, admin: Admin
+) -> Duties:
     """The coordinated tasks, connected to the listener, the host and the admin port."""
     duties = Duties(world, log, build_figures(settings))
     admin.body_handlers["/duty"], admin.max_body = duties.take, duties.LARGEST
     admits: Callable[[str], bool] = _admit_any
     if settings.duties.vocabulary is not None:
-        admits = _add_vocabulary(world, settings, log, host, duties, door, admin)
+        admits = _add_vocabulary(world, settings, log, host, duties, client_listener, admin)
     if settings.duties.weights is not None:
         _add_weights(world, settings, log, host, duties, admin.stream_handlers, admits)
     return duties
@@ -57,7 +59,13 @@
 
 
 def _add_vocabulary(
-    world: World, settings: Settings, log: Log, host: Host, duties: Duties, door: Door, admin: Admin
+    world: World,
+    settings: Settings,
+    log: Log,
+    host: Host,
+    duties: Duties,
+    client_listener: Door,
+    admin: Admin,
 ) -> Callable[[str], bool]:
     """Adds the vocabulary task. Returns the check whether servers may run on a vocabulary, for releases of
     weights."""
@@ -80,7 +88,7 @@
         part.most_share,
     )
     duties.add(work)
-    door.speaking = token_ids.TokenIdTranslator(work, host.roster)
+    client_listener.speaking = token_ids.TokenIdTranslator(work, host.roster)
     host.narrow(Tongues(host.roster, host.asks).may)
     admin.routes |= token_ids.routes(work, admin.routes["POST", "/fleet/confirm"])
     return work.admits
--- a/stackpitch/gateway/serve.py
+++ b/stackpitch/gateway/serve.py
@@ -37,7 +37,7 @@
 
 def build_bounds(settings: Settings) -> Bounds:
     """The limits of connections, answers and waits."""
-    engines, door = settings.engines, settings.door
+    engines, door_settings = settings.engines, settings.door
     return Bounds(
         pool=engines.pool,
         connect=ticks(engines.connect_ms),
@@ -47,9 +47,9 @@
         release_tries=engines.release_tries,
         max_head=engines.max_head,
         max_answer=engines.max_answer,
-        buffer=door.buffer,
-        stall=ticks(door.stall_ms),
-        watch=ticks(door.answer_margin_ms) // 2,
+        buffer=door_settings.buffer,
+        stall=ticks(door_settings.stall_ms),
+        watch=ticks(door_settings.answer_margin_ms) // 2,
         request_level=logs.LEVELS[settings.logs.requests],
     )
 
@@ -104,7 +104,7 @@
 
     def body(group: Group) -> Coro[None]:
         host = build_host(world, group, settings, log, metrics)
-        door = Door(
+        client_listener = Door(
             world,
             host,
             log,
@@ -123,16 +123,16 @@
         manager = RosterManager(world, group, log, metrics, host, settings, config, given)
 
         def apply_settings(new: Settings) -> None:
-            door.reading = build_reading(new)
+            client_listener.reading = build_reading(new)
             host.prefer(preferences(new, host.brain.preferences.epoch))
 
         manager.on_new_settings = apply_settings
         manager.begin()
         listener = world.listen((door_settings.host, door_settings.port))
         admin_listener = world.listen((settings.admin.host, settings.admin.port))
-        group.spawn(door.serve(group, listener), "door")
+        group.spawn(client_listener.serve(group, listener), "door")
         admin = Admin(world, _admin_routes(host, manager, metrics))
-        duties = _build_duties(world, settings, log, host, door, admin)
+        duties = _build_duties(world, settings, log, host, client_listener, admin)
         if duties is not None:
             group.spawn(duties.run(), "duties")
         group.spawn(admin.serve(group, admin_listener), "admin")
@@ -150,19 +150,19 @@
             group.spawn(_reload(manager), "reload")
         log.info("stopping", signal=number, held=len(host.asks))
         listener.finish()
-        door.close_idle()
+        client_listener.close_idle()
         if duties is not None:
             yield from duties.leave()  # bounded by the limit of one call between gateways
         task = world.current
         host.emptied = task.wake
         with world.limit(ticks(settings.stop.finish_ms)):
-            while door.accepting or host.asks or host.calls:
+            while client_listener.accepting or host.asks or host.calls:
                 yield from world.sleep(50)
         host.emptied = None
         left = len(host.asks)
         host.stop()
         with world.limit(SECOND):
-            while host.asks or host.calls or door.connections:
+            while host.asks or host.calls or client_listener.connections:
                 yield from world.sleep(20)
         log.info("stopped", answered_at_the_end=left)
         group.cancel()
@@ -171,14 +171,14 @@
 
 
 def _build_duties(
-    world: World, settings: Settings, log: logs.Log, host: Host, door: Door, admin: Admin
+    world: World, settings: Settings, log: logs.Log, host: Host, client_listener: Door, admin: Admin
 ) -> "Duties | None":
     """None, without importing them, unless the settings name voting replicas."""
     if not settings.duties.voters:
         return None
     from stackpitch.gateway.duties import build_duties
 
-    return build_duties(world, settings, log, host, door, admin)
+    return build_duties(world, settings, log, host, client_listener, admin)
 
 
 def _reload(manager: RosterManager) -> Coro[None]:
--- a/stackpitch/platform/serve.py
+++ b/stackpitch/platform/serve.py
@@ -65,7 +65,7 @@
             plan.arguments,
             budget=budget,
         )
-        door = PlatformListener(
+        client_listener = PlatformListener(
             world,
             host,
             log,
@@ -82,8 +82,8 @@
             margin=10 * MS,
             fresh=SECOND * 12 // 10,
         )
-        door.products, door.customers = plan.products, plan.customers
-        door.stop_signalled_at = lambda: world.first_of(STOP_SIGNALS)
+        client_listener.products, client_listener.customers = plan.products, plan.customers
+        client_listener.stop_signalled_at = lambda: world.first_of(STOP_SIGNALS)
         discovery = Discovery(
             world,
             host,
@@ -92,19 +92,20 @@
             conf.known,
             watching.watch_times(watching.gateway_spread(conf.name, conf.seed)),
         )
-        reloader = Reloader(world, log, environ, plan, host, budget, door, discovery)
+        reloader = Reloader(world, log, environ, plan, host, budget, client_listener, discovery)
         host.telling.log_all = environ.get(TRACE_ALL) == "all"
         host.begin()
         listener = yield from _with_retries(world, lambda: world.listen(conf.listen))
-        group.spawn(door.serve(group, listener), "door")
+        group.spawn(client_listener.serve(group, listener), "door")
         group.spawn(discovery.run(), "discovery")
         group.spawn(_sweep(world, host), "sweep")
         group.spawn(_every(world, OUTCOME_LOG_INTERVAL, log.log_outcomes), "classes")
         group.spawn(
-            _every(world, COUNTER_LOG_INTERVAL, lambda: _log_counts(world, host, door, log)), "counters"
+            _every(world, COUNTER_LOG_INTERVAL, lambda: _log_counts(world, host, client_listener, log)),
+            "counters",
         )
         group.spawn(_every(world, HEARTBEAT, _nothing), "heartbeat")
-        group.spawn(_ready(world, door, discovery), "ready")
+        group.spawn(_ready(world, client_listener, discovery), "ready")
         log.info(
             "serving",
             descriptors=plan.descriptors,
@@ -114,7 +115,7 @@
             **{part: conf.settings.values.get(part) for part in ("report", "bounds", "guarantees")},
         )
         if ready is not None:
-            ready(host, door)
+            ready(host, client_listener)
         # Excludes the program's own objects from the collection of each second. No collection runs before: it
         # would cost as much as parsing a list of 1,024 servers twice, and imports leave only some 200 objects
         # to collect.
@@ -122,23 +123,23 @@
         while (yield from caught()) == signal.SIGHUP:
             group.spawn(reloader.reload_patiently(), "reload")
         signalled = world.first_of(STOP_SIGNALS) or world.now()
-        door.retry_after = retry_elsewhere_after(reloader.plan.arguments["max_retry_after"])
-        door.close_idle()
+        client_listener.retry_after = retry_elsewhere_after(reloader.plan.arguments["max_retry_after"])
+        client_listener.close_idle()
         group.spawn(_reloads(caught, reloader), "reloads")
         log.info(
             "stopping",
             held=len(host.asks),
-            connections=door.connections,
+            connections=client_listener.connections,
             unseen_ms=(world.now() - signalled) / MS,
             takes_for_ms=max(0, takes_until(signalled) - world.now()) / MS,
         )
         yield from world.sleep(takes_until(signalled) - world.now())
         listener.finish()
-        while door.accepting or host.asks or host.calls or door.connections:
-            door.close_idle()
+        while client_listener.accepting or host.asks or host.calls or client_listener.connections:
+            client_listener.close_idle()
             yield from world.sleep(20 * MS)
         log.log_outcomes()
-        _log_counts(world, host, door, log)
+        _log_counts(world, host, client_listener, log)
         log.info("stopped")
         group.cancel()
 
@@ -157,12 +158,12 @@
     raise AssertionError("the last attempt returns or raises")
 
 
-def _ready(world: World, door: PlatformListener, discovery: Discovery) -> Coro[None]:
+def _ready(world: World, client_listener: PlatformListener, discovery: Discovery) -> Coro[None]:
     """Becomes ready with the first list from discovery; after 0.5 s without one, with the known list."""
     with world.limit(SECOND // 2):
         while not discovery.list_received:
             yield from world.sleep(5 * MS)
-    door.ready = True
+    client_listener.ready = True
 
 
 def _reloads(caught: Callable[[], Coro[int]], reloader: Reloader) -> Coro[None]:
@@ -173,11 +174,11 @@
             yield from reloader.reload_patiently()
 
 
-def _log_counts(world: World, host: Host, door: PlatformListener, log: JsonLog) -> None:
+def _log_counts(world: World, host: Host, client_listener: PlatformListener, log: JsonLog) -> None:
     """Logs, each since the last time, the counters of each class, why connections ended, which acts were not
     permitted, and which system calls failed."""
     log.log_counters(host.counters)
-    if closed := door.take_closings():
+    if closed := client_listener.take_closings():
         log.info("connections_ended", **closed)
     if refused := host.refusals.take():
         log.info("not_permitted", **refused)
