--- a/tests/platform_discovery.py
+++ b/tests/platform_discovery.py
@@ -1,4 +1,5 @@
-"""The stage's discovery: a list and its changes, calls that are answered, spoilt or not at all."""
+"""Scripted discovery for the stage: a list, its changes, and calls that are answered, answered badly or not
+at all."""
 
 import json
 from typing import Any
@@ -8,7 +9,7 @@
 
 
 class ScriptedDiscovery:
-    """A part of the stage."""
+    """Mixed into the stage."""
 
     def listing(self, members: list[dict[str, Any]], whole: bool = True) -> dict[str, Any]:
         return {"revision": self.revision, "complete": whole, "members": members}
@@ -24,9 +25,9 @@
             except Lost:
                 return
             self.watching[stream] = listener.address[1]
-            self.group.spawn(self.told(stream, listener.address[1]), "watch")
+            self.group.spawn(self.connection_to_discovery(stream, listener.address[1]), "watch")
 
-    def told(self, stream: Stream, port: int) -> Coro[None]:
+    def connection_to_discovery(self, stream: Stream, port: int) -> Coro[None]:
         try:
             while True:
                 reader = http.RequestReader(4096, 0)
@@ -35,40 +36,45 @@
                     if not data:
                         return
                     reader.feed(data)
-                asked, era, spoil = self.world.now(), self.era, self.spoils.pop(0) if self.spoils else "ok"
+                asked, epoch, kind = (
+                    self.world.now(),
+                    self.epoch,
+                    self.answer_kinds.pop(0) if self.answer_kinds else "ok",
+                )
                 self.calls += 1
                 query = dict(part.partition("=")[::2] for part in reader.query.split("&"))
                 since, wait = int(query.get("since", -1)), int(query.get("timeout_ms", 0)) * MS
-                while spoil == "ok" and since == self.revision and self.world.now() - asked < wait:
+                while kind == "ok" and since == self.revision and self.world.now() - asked < wait:
                     yield from self.world.sleep(5 * MS)
-                while self.silent or port != self.port or era != self.era or spoil == "never":
+                while self.silent or port != self.port or epoch != self.epoch or kind == "never":
                     yield from self.world.sleep(5 * MS)
                     if stream.eof:
                         return
                 whole = since < 0 or since > self.revision
-                found = (
+                members = (
                     list(self.members.values())
                     if whole
-                    else [one for revision, one in self.news if revision > since]
+                    else [member for revision, member in self.news if revision > since]
                 )
-                if spoil == "part":
-                    found, whole = found[:1], False
-                yield from self.spoilt(stream, spoil, json.dumps(self.listing(found, whole)).encode())
+                if kind == "part":
+                    members, whole = members[:1], False
+                yield from self.answer_as(stream, kind, json.dumps(self.listing(members, whole)).encode())
         except Lost:
             pass
         finally:
             self.watching.pop(stream, None)
             stream.close()
 
-    def spoilt(self, stream: Stream, spoil: str, body: bytes) -> Coro[None]:
-        """`cut` in the middle, a byte a second, or bytes that are no such answer; `last`: good, then closed; `part`: one
-        member alone, as if it were news."""
-        good = http.response(200, body, [("connection", "close")] if spoil == "last" else [])
-        if spoil == "cut":
+    def answer_as(self, stream: Stream, kind: str, body: bytes) -> Coro[None]:
+        """Answers a call badly: `cut`: reset in the middle; `trickle`: a byte a second; `last`: a good
+        answer, then closed; `part`: only the first member, as a partial list; else bytes that are no valid
+        answer."""
+        good = http.response(200, body, [("connection", "close")] if kind == "last" else [])
+        if kind == "cut":
             stream.write(good[: len(good) // 2])
             yield from self.world.sleep(5 * MS)
             stream.abort()
-        elif spoil == "trickle":
+        elif kind == "trickle":
             for at in range(len(good)):
                 stream.write(good[at : at + 1])
                 yield from self.world.sleep(SECOND)
@@ -84,15 +90,15 @@
                     "endless": http.head(200, [("transfer-encoding", "chunked")])
                     + http.chunk(b"x" * 65536) * 33,
                     "large": http.head(200, [("content-length", "20000000")]),
-                }.get(spoil, good)
+                }.get(kind, good)
             )
 
-    def do_discovery(self, how: str, *spoils: str) -> None:
+    def do_discovery(self, how: str, *answer_kinds: str) -> None:
         self.silent = how == "silent"
         if how == "next":
-            self.spoils = list(spoils)
+            self.answer_kinds = list(answer_kinds)
         elif how == "forgets":
-            self.era += 1
+            self.epoch += 1
         elif how == "moves":
             self.port += 1
             self.listen()
@@ -101,9 +107,9 @@
             self.listeners[self.port].choke(how == "cut-off")
         elif how == "down":
             self.listeners.pop(self.port).close()
-            for stream in [one for one, port in self.watching.items() if port == self.port]:
+            for stream in [open_stream for open_stream, port in self.watching.items() if port == self.port]:
                 stream.abort()
         elif how == "up":
             self.listen()
         if how in ("speaks", "up", "back", "moves"):
-            self.told_at, self.calls = self.world.now(), 0
+            self.changed_at, self.calls = self.world.now(), 0
--- a/tests/platform_expect.py
+++ b/tests/platform_expect.py
@@ -1,4 +1,4 @@
-"""What a text may expect of the stage; see `platform_stage`."""
+"""The expectations of scenarios (lines that begin with `>`); see `platform_stage`."""
 
 import gc
 import re
@@ -9,7 +9,7 @@
 
 
 class Expectations:
-    """A part of the stage."""
+    """Mixed into the stage."""
 
     def until(self, ms: int, what: Any, text: Any) -> Coro[None]:
         for _ in range(ms // 2 + 1):
@@ -51,7 +51,7 @@
         assert self.outcomes[number] == list(outcomes), f"outcomes {self.outcomes[number]}"
 
     def expect_passed_on(self, name: str, *fields: str) -> None:
-        """With every attempt; `-name`: that field with none."""
+        """Every attempt had these fields; `-name`: none had that field."""
         heads = [
             head for server in self.servers.values() for head in server.fields.get(self.clients[name].id, [])
         ]
@@ -80,7 +80,8 @@
         assert found == [(role, int(count))] or (or_none and not found), f"{found}"
 
     def expect_served_or_refused(self, name: str) -> Coro[None]:
-        """A new connection owes an answer to whatever came on it; a request that was refused so is not sent on."""
+        """A request on a new connection is always answered; one that is refused with 503 reaches no
+        server."""
         client = self.clients[name]
         yield from self.until(3000, lambda: client.end is not None, "no end came")
         assert client.end in ("streamed", "503"), f"ended as {client.end!r}: {client.why}"
@@ -105,8 +106,8 @@
         assert self.called("HOLD", name) == [server], f"asked of {self.called('HOLD', name)}"
 
     def expect_released(self, name: str, *servers: str) -> Coro[None]:
-        """By one server, of these if any are named; `twice`: also while an attempt was out that may have arrived, or
-        again for a read that may have ended after it."""
+        """Released at one server, of these if any are named. `twice`: also before, while an attempt that may
+        have arrived was in progress; or again, for a read that may have ended after the first release."""
         times = 1 + ("twice" in servers)
         allowed = [one for one in servers if one != "twice"]
         yield from self.until(800, lambda: len(self.called("DELETE", name)) >= times, "not released")
@@ -129,14 +130,14 @@
         return next(seat for server, seat in self.host.brain.fleet.seats.items() if server.name == name)
 
     def expect_believes(self, name: str, held: str) -> None:
-        """What others hold and we hold together, as the last report had it."""
+        """The held share, of this gateway and others together, as the module has it from the last report."""
         seat, server = self.seat(name), next(one for one in self.host.roster.addresses if one.name == name)
         assert isinstance(server, Server) and abs(seat.others - float(held)) < 0.02, (
             f"others hold {seat.others:.3f}"
         )
 
     def expect_servers(self, *names: str, seats: str | None = None) -> None:
-        """`seats`: those that the module in force knows, where one from before has others."""
+        """`seats`: the servers that the current module knows, where an earlier one knows others."""
         found = [one.name for one in self.host.roster.addresses]
         known = [one.name for one in self.host.brain.fleet.seats]
         wanted = sorted(names) if seats is None else seats.split(",")
@@ -151,7 +152,7 @@
             )
 
         yield from self.until(20_000, lambda: found() == sorted(names), lambda: f"servers {found()}")
-        took = (self.world.now() - self.told_at) // MS
+        took = (self.world.now() - self.changed_at) // MS
         assert took <= int(ms), f"told after {took} ms"
 
     def expect_said(self, event: str, count: str, *words: str) -> None:
@@ -194,7 +195,7 @@
         assert told and int(ms) - 120 <= max(told) <= int(ms), f"told {told}"
 
     def got(self, name: str) -> list[tuple[dict[str, str], bytes]]:
-        """Fields and the beginning of the body of each of its attempts."""
+        """Header fields and the beginning of the body of each of its attempts."""
         number, found = self.clients[name].id, []
         for came, _, _ in (one for server in self.servers.values() for one in server.came):
             head, _, body = came.partition(b"\r\n\r\n")
@@ -206,11 +207,11 @@
     def expect_sent_on(self, name: str) -> None:
         own = self.clients[name].sent
         for fields, body in self.got(name):
-            of_attempt = {"host", "req-deadline-ms", "content-type", "content-length"}
-            assert {field: value for field, value in fields.items() if field not in of_attempt} == own, (
+            added = {"host", "req-deadline-ms", "content-type", "content-length"}
+            assert {field: value for field, value in fields.items() if field not in added} == own, (
                 f"{fields}, sent {own}"
             )
-            assert of_attempt <= set(fields), f"{fields}"
+            assert added <= set(fields), f"{fields}"
             assert self.bodies[self.clients[name].id].startswith(body), f"{body!r}"
 
     def expect_fields(self, name: str, *fields: str) -> None:
@@ -229,16 +230,16 @@
     def expect_facts(self, name: str, **facts: str) -> None:
         gen = next((one for one in self.host.asks if one.name == self.clients[name].id), None)
         assert gen is not None, "it is not under way"
-        of, customer = gen.product, gen.customer
+        product, customer = gen.product, gen.customer
         found = {
-            "product": of.name,
-            "effect": of.effect,
-            "scope": of.scope,
-            "memory": of.memory // MS,
-            "slo": of.slo_time // MS,
-            "gap": of.token_gap // MS,
-            "limit": of.time_limit // MS,
-            "worth": of.revenue,
+            "product": product.name,
+            "effect": product.effect,
+            "scope": product.scope,
+            "memory": product.memory // MS,
+            "slo": product.slo_time // MS,
+            "gap": product.token_gap // MS,
+            "limit": product.time_limit // MS,
+            "worth": product.revenue,
             "owner": customer and customer.name,
             "quota": customer and customer.quota_per_s,
             "share": customer and customer.share,
--- a/tests/platform_process.py
+++ b/tests/platform_process.py
@@ -1,4 +1,4 @@
-"""A real gateway of the platform as a process, with a discovery, servers and clients by blocking sockets."""
+"""Runs a platform gateway as a process, with discovery, servers and clients on blocking sockets."""
 
 import json
 import os
@@ -19,12 +19,12 @@
 from stackpitch.wire import http
 
 MOST = 64  # descriptors that the process may hold
-FAULTS: dict[str, str] = {}  # what the option --faults has each gateway process started with
-FAILING: set[str] = set()  # the kinds of calls that fail there
+FAULTS: dict[str, str] = {}  # environment of gateway processes under the option --faults
+FAILING: set[str] = set()  # the kinds of system calls that fail there
 
 
 class Agent:
-    """Discovery, by blocking sockets: one call answered at a time."""
+    """Discovery; answers one call at a time."""
 
     def __init__(self) -> None:
         self.port, self.revision = 0, 1
@@ -39,7 +39,8 @@
         self.port = self.listener.getsockname()[1]
 
     def told(self, limit: float) -> socket.socket:
-        """Answers calls until a watch since the last revision shows that it was taken."""
+        """Answers calls until a watch from the current revision shows that the gateway has the list; returns
+        its socket. Raises TimeoutError after `limit` seconds."""
         until = time.monotonic() + limit
         while True:
             self.listener.settimeout(max(0.01, until - time.monotonic()))
@@ -62,27 +63,30 @@
 
 
 def free_port() -> int:
-    with socket.socket() as one:
-        one.bind(("127.0.0.1", 0))
-        return int(one.getsockname()[1])
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        return int(probe.getsockname()[1])
 
 
 def idle(port: int, kept: bool) -> socket.socket:
-    one = socket.create_connection(("127.0.0.1", port), 5)
+    """A connection that sends nothing more. `kept`: after one request, on a connection that is kept alive."""
+    stream = socket.create_connection(("127.0.0.1", port), 5)
     if kept:
-        one.sendall(b"GET /-/ready HTTP/1.1\r\nhost: a\r\n\r\n")
-    return one
+        stream.sendall(b"GET /-/ready HTTP/1.1\r\nhost: a\r\n\r\n")
+    return stream
 
 
 def waited(what: Callable[[], bool], limit: float) -> bool:
+    """Polls for up to `limit` seconds; returns the last result."""
     until = time.monotonic() + limit
-    while not (found := what()) and time.monotonic() < until:
+    while not (result := what()) and time.monotonic() < until:
         time.sleep(0.02)
-    return found
+    return result
 
 
 class Gateway:
-    """With so many descriptors; `sockets`: what its configuration says of them; `port`: 0 for any that is free."""
+    """`most`: the descriptor limit of the process; `sockets`: the configured number; `port`: 0 for any free
+    port."""
 
     def __init__(
         self,
@@ -123,17 +127,19 @@
 
     def __exit__(self, *_: object) -> None:
         self.over.set()
-        for one in self.threads:
-            one.join()
+        for thread in self.threads:
+            thread.join()
         self.process.kill()
         self.process.wait()
 
     def held(self) -> int:
-        """Descriptors."""
-        self.peak = max(self.peak, found := len(os.listdir(f"/proc/{self.process.pid}/fd")))
-        return found
+        """The number of open descriptors."""
+        self.peak = max(self.peak, count := len(os.listdir(f"/proc/{self.process.pid}/fd")))
+        return count
 
     def meanwhile(self, what: Callable[[], None], every: float) -> None:
+        """Calls `what` in a thread, each `every` seconds, until the gateway is left."""
+
         def work() -> None:
             while not self.over.wait(every):
                 what()
@@ -142,7 +148,7 @@
         self.threads[-1].start()
 
     def starve(self, still: float, runs: float) -> None:
-        """Lets it run for `runs` after each `still` in which it doesn't."""
+        """Stops the process for `still` seconds after each `runs` seconds."""
 
         def pulse() -> None:
             os.kill(self.process.pid, signal.SIGSTOP)
@@ -152,15 +158,15 @@
         self.meanwhile(pulse, runs)
 
     def crowd(self, count: int, every: float) -> list[socket.socket]:
-        """So many idle clients, the oldest replaced all the time, whatever becomes of them."""
+        """Keeps `count` idle clients connecting, replacing the oldest all the time."""
         clients: list[socket.socket] = []
 
         def renew() -> None:
             for _ in range(count // 8):
-                one = socket.socket()
-                one.setblocking(False)
-                one.connect_ex(("127.0.0.1", self.port))
-                clients.append(one)
+                client = socket.socket()
+                client.setblocking(False)
+                client.connect_ex(("127.0.0.1", self.port))
+                clients.append(client)
             while len(clients) > count:
                 clients.pop(0).close()
             self.held()
@@ -170,7 +176,8 @@
 
 
 class Server:
-    """A model server. `got`: method, path and time of what came whole; a leg is answered once `go` is set."""
+    """A model server. `got`: method, path and time of each complete request; legs are answered once `go` is
+    set."""
 
     def __init__(self, name: str, answer: bytes) -> None:
         self.answer, self.go = answer, threading.Event()
@@ -212,13 +219,13 @@
 
 
 def ask(port: int, name: str, product: str, limit_ms: int = 8000, small: bool = False) -> socket.socket:
-    """`small`: its own system takes little for it."""
-    one = socket.socket()
-    one.settimeout(5)
+    """Sends a request and returns its connection. `small`: with a small receive buffer."""
+    client = socket.socket()
+    client.settimeout(5)
     if small:
-        one.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    one.connect(("127.0.0.1", port))
-    one.sendall(
+        client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    client.connect(("127.0.0.1", port))
+    client.sendall(
         http.request(
             "POST",
             "/v1/chat/completions",
@@ -232,4 +239,4 @@
             ],
         )
     )
-    return one
+    return client
--- a/tests/platform_script.py
+++ b/tests/platform_script.py
@@ -1,4 +1,4 @@
-"""What the stage of the platform's gateway is made of: settings, answers as bytes, scripted servers and clients."""
+"""Parts of the platform gateway's stage: settings, answers as bytes, scripted servers and clients."""
 
 import json
 from typing import TYPE_CHECKING, Any
@@ -63,9 +63,8 @@
 LAST = http.chunk(sse.DONE) + http.chunk(b": Srv-Load: queue=1,util=0.5,x0=0.3\n\n") + http.LAST_CHUNK
 STREAM = HEAD + event("w") + USAGE + LAST
 READ = http.response(202, b'{"cached_tokens":4}')
-WHOLE: dict[
-    str, bytes
-] = {  # acts that are bytes, after which the connection stays open; a part after | comes later
+# Acts that send these bytes, after which the connection stays open; a part after | is sent 20 ms later.
+WHOLE: dict[str, bytes] = {
     "noise": b"\x07\x80\xffnoise\r\n" * 9,
     "bad-head": b"HTTP/1.1 2x0 OK\r\n\r\n",
     "long-head": b"HTTP/1.1 200 OK\r\na: " + b"x" * 40000,
@@ -104,17 +103,18 @@
 
 
 class ScriptedServer:
-    """`calls` are the methods, paths and ids that it got whole."""
+    """`calls`: method (`HOLD` for a reservation) and id of each request that arrived completely."""
 
     def __init__(self, stage: "Stage", name: str, port: int) -> None:
         self.stage, self.name, self.port, self.acts = stage, name, port, ["ok"]
         self.calls: list[tuple[str, str]] = []
-        self.blind = 0  # so long after it came about a connection is not read
-        self.fields: dict[str, list[dict[str, str]]] = {}  # by id: of each attempt's head
-        self.deadlines: dict[
-            str, list[tuple[int, int]]
-        ] = {}  # by id: ms that an attempt told, and when it was whole here
-        self.came: list[list[Any]] = []  # of each request the first bytes, how many came, whether it is whole
+        self.blind = 0  # time after which a new connection is read
+        self.fields: dict[str, list[dict[str, str]]] = {}  # by id: the header fields of each attempt
+        # By id: the deadline in ms that each attempt carried, and when it had arrived completely.
+        self.deadlines: dict[str, list[tuple[int, int]]] = {}
+        self.came: list[
+            list[Any]
+        ] = []  # of each request: first bytes, bytes received, whether it is complete
         self.listener = stage.world.listen(("127.0.0.1", port))
         stage.group.spawn(self.serve(), name)
 
@@ -152,7 +152,7 @@
                     continue
                 assert reader.headers["req-deadline-ms"].isdigit() and reader.body() == self.stage.bodies.get(
                     name, BODY
-                ), "not as it came"
+                ), "the request was changed"
                 self.fields.setdefault(name, []).append(reader.headers)
                 self.deadlines.setdefault(name, []).append(
                     (int(reader.headers["req-deadline-ms"]), self.stage.world.now())
@@ -175,11 +175,12 @@
             stream.close()
 
     def act(self, stream: Stream, act: str, number: int) -> Coro[None]:
-        """`late:MS`, `words:COUNT`, `cut`, `silence` or `dribble` (bytes of an event that is never whole) after two words,
-        `reset` or `reset:MS`, `silent`, or bytes. `echo`: an event with the request's id. `stale`: good,
-        but the connection is reset at its next request."""
+        """`late:MS`, `words:COUNT`; `cut`, `silence` or `dribble` (bytes of an event that never ends) after
+        two words; `reset` or `reset:MS`; `silent`; a key of WHOLE. `echo`: an event with the request's id.
+        `stale`: a good answer, but the connection is reset at its next request. `wide:COUNT`, `small:COUNT`:
+        events of 4,000 or 400 bytes, as fast as they are read; `endless`, `pings`: events or comments without
+        an end."""
         if act in ("wide", "small", "endless", "pings"):
-            # `wide:COUNT`, `small:COUNT`: events of 4,000 or 400 bytes, as quickly as they are taken; events or comments without an end
             stream.write(HEAD + event("w"))
             for _ in range(number - 1 if number else 1 << 20):
                 stream.write(
@@ -222,16 +223,16 @@
 
 
 class Client:
-    """One scripted client and what it got."""
+    """A scripted client and what it received."""
 
     def __init__(self, stream: Stream, name: str) -> None:
         self.stream, self.id = stream, name
         self.end: str | None = None
         self.why = ""
-        self.asked, self.limit = 0, 0  # when it asked, ms that it will wait
+        self.asked, self.limit = 0, 0  # when it sent its request, ms that it will wait
         self.words, self.after, self.ended, self.last = 0, b"", 0, False
         self.fields: list[str] = []  # of the last answer's head
-        self.sent: dict[str, str] = {}  # fields of its last request that go on as they are
-        self.text = ""  # of the last answer, as it came
+        self.sent: dict[str, str] = {}  # fields of its last request that are forwarded unchanged
+        self.text = ""  # body of the last answer
         self.again = ""
-        self.pace = (65536, 0)  # bytes that it takes at a time, ticks between two times
+        self.pace = (65536, 0)  # bytes that it reads at a time, ticks between two reads
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -1,64 +1,65 @@
-"""A gateway of the platform among scripted servers, clients and a discovery, in the virtual world.
+"""Plays scenarios: a platform gateway with scripted servers, clients and discovery, in virtual time.
 
-config sockets=64 restart=0     of the configuration, before anything else
-fleet r1 w1 w2                  scripted servers; the letter tells the role
+config sockets=64 restart=0     fields of the configuration, before anything else
+fleet r1 w1 w2                  starts scripted servers and the gateway; the letter is the role
 server w1 reset ok              what it does with its next legs, the last for all that follow; see `act`
-server w1 takes 300 400         so many bytes of each request; the rest 400 ms after its connection came about
-server w1 dead | cut-off | back whether connections to it come about: refused, or never up; `up-after 150`: so late
-list w1 draining | removed | up discovery has something to tell; `list whole` tells all there is, a version back
-settings discovery=on_request   of the settings, before the fleet
-discovery silent | speaks | moves       to another address, which the configuration's file then names
-discovery forgets               calls under way are never answered, later ones are
-discovery down | up | cut-off | back    refused and reset, or connections that never come up
-discovery next never cut ok     what becomes of its next calls; see `spoilt`
-starve 300 100                  the gateway's process runs 100 ms after each 300 in which it doesn't
-ask a chat with=idempotency-key:7f,x-a:1    and so further fields; `> passed-on a idempotency-key:7f` to each server that it came to
-ask a chat limit=900 extra=...  a client asks, chat, pay or order; retry=1; id=b that of another; key=s a session; pad=900 bytes more; reads=1/3000 a byte each 3 s
-raw a POST /v1 HTTP/1.1\\r\\n   bytes on a connection of their own; {id} is a fresh id, {mb} a megabyte
-then a chat                     asks again on the same connection once the last answer was whole; `again`: at once
-ask a chat owner=acme           of a tenant; `then` and `again` take the same words
-reload settings.bounds.maxAttempts=2 settings.classes.0=gone    changes the file by path, as JSON without blanks, and sends SIGHUP; then=term: both signals at once
-quiet a                         a connection that says nothing
-open a                          a connection that neither asks nor reads until `again a chat`
-leave a | leave a half | leave a reset      closes its connection, ends its sending, breaks it
-more a 500                      so many bytes after its request; `second a`: a whole second request
-budget 1                        so many connections to servers may be open from now on
-bytes a POST /v1 ...            as raw, further ones on that connection
-rest a -3                       until its rest is over, and so many ticks longer
-meanwhile quiet d               goes on at once
+server w1 takes 300 400         reads 300 bytes of each request, the rest 400 ms after its connection was made
+server w1 dead | cut-off | back connections to it are refused, time out, or work again; `up-after 150`: are made 150 ms late
+list w1 draining | removed | up discovery has a change; `list whole`: it sends the complete list at a lower revision
+settings discovery=on_request   fields of the settings, before the fleet
+discovery silent | speaks | moves       stops answering, answers again, moves to another address and writes it to the file
+discovery forgets               calls in progress are never answered, later ones are
+discovery down | up | cut-off | back    connections are refused and reset, or time out
+discovery next never cut ok     how its next calls are answered; see `answer_as`
+starve 300 100                  the gateway's process is stopped for 300 ms, runs for 100 ms, and so on
+ask a chat with=idempotency-key:7f,x-a:1    with further header fields; `> passed-on a idempotency-key:7f`: each attempt had it
+ask a chat limit=900 extra=...  a client sends a request for chat, pay or order; retry=1; id=b: the id of another; key=s: a session;
+                                pad=900: a longer body; reads=1/3000: it reads a byte each 3 s
+raw a POST /v1 HTTP/1.1\\r\\n   sends bytes on a new connection; {id} is a new id, {mb} a megabyte
+then a chat                     another request on the same connection after the complete answer; `again`: at once
+ask a chat owner=acme           with a tenant; `then` and `again` take the same words
+reload settings.bounds.maxAttempts=2 settings.classes.0=gone    changes the file, by path and JSON without blanks, and sends SIGHUP; then=term: followed by SIGTERM at once
+quiet a                         opens a connection and sends nothing
+open a                          opens a connection that neither sends nor reads until `again a chat`
+leave a | leave a half | leave a reset      the client closes its connection, half-closes it, resets it
+more a 500                      sends 500 bytes after its request; `second a`: a complete second request
+budget 1                        from now on at most one connection to servers may be open
+bytes a POST /v1 ...            as `raw`, further bytes on the same connection
+rest a -3                       waits until its idle time is over, here 3 ticks less
+meanwhile quiet d               runs a line in parallel
 wait 100 | ticks 3 | signal hup | term | stop | cont
-file {not json                  the configuration gets this text
-module hold a w1                what the module may ask for, asked for here
-many 300 chat                   so many asks, each after the last one's answer
-> a streamed | throttled 0.5 | failed | broken | 400 | closed      how it ended, and how it was told to come again
+file {not json                  writes this text to the configuration file
+module hold a w1                calls the host as the decision module would
+many 300 chat                   300 requests, each after the answer to the one before
+> a streamed | throttled 0.5 | failed | broken | 400 | closed      how it ended, with its retry-after
 > words a 5 | legs a r1 w1 | released a | held a w1 | nothing-after a | exit 0
-> ready-within 510              ms from the gateway's start until it said that it was ready
-> attempts a 1                  so many, wherever
+> ready-within 510              ms from the gateway's start until it was ready
+> attempts a 1                  number of attempts at any server
 > outcomes a read not-sent      of its attempts, in order, once it is over
-> deadlines a 2 15              so many attempts, each telling its server at most what the client has left and 15 ms
-> half-written a w 300 or-none  of its request so many bytes came to one server of that letter, never the whole, or none if that will do
-> clean a                       its connection ended by an end, not by a reset
-> answered-or-unread a          a whole answer, that tells of a shutdown; or a clean end, and nothing was sent on
-> within 900                    ms since the last ask, raw or quiet
-> told 5000 r1 w2*              the servers (*: with a start), so many ms at most after the last change, or after discovery was back
-> called 10                     calls of discovery since the last change or return, at most
-> said discovery_lost 1 [WORD]  lines of the log by event, and a word that the last one has
-> believes w1 held=0.3          the module's word on what others hold there
-> deadline a 900                the longest that a server of its was told it has, in ms, or up to 120 fewer
-> sent-on a                     its servers got its own head and body, and no field beside
+> deadlines a 2 15              number of attempts, each with a deadline of at most what the client has left and 15 ms
+> half-written a w 300 or-none  one server of that role got 300 bytes of its request and no more; `or-none`: or no server got any
+> clean a                       its connection was closed, not reset
+> answered-or-unread a          a complete answer, which announces a shutdown; or a clean close, and no server got its request
+> within 900                    ms from the last ask, raw or quiet to the last end
+> told 5000 r1 w2*              the ready servers (*: with a start time), at most 5000 ms after the last change or discovery's return
+> called 10                     at most 10 calls to discovery since the last change or return
+> said discovery_lost 1 [WORD]  number of log lines by event, and a text in the last one
+> believes w1 held=0.3          the share of memory that the module believes others hold there
+> deadline a 900                the longest deadline that its attempts carried, in ms, or up to 120 ms less
+> sent-on a                     its servers got its own head and body, and no further fields
 > fields a content-type content-length      of its last answer's head, all of them
-> echoed a                      its last answer holds its own id, and no other
-> behind a 400                  status of a further answer behind the last
-> facts a product=chat effect=idempotent owner=acme quota=5     what it is carried with, while it is under way
+> echoed a                      its last answer contains its own id and no other
+> behind a 400                  status of a further answer after the last
+> facts a product=chat effect=idempotent owner=acme quota=5     what the gateway knows of it while it is in progress
 > module kept | new             since the last reload
-> modules 2                     in use; earlier ones are forgotten, down to their last object
+> modules 2                     in use; earlier ones have been freed
 > server w1 mixed 5000          role and memory
-> reused w1 2                   connections to it that served again, at least
-> idle                          no generation, call, leg or client's request is left
-> buffered 132000               bytes that wait here for the slowest client, at most, and some do
-> sockets 40                    connections the gateway has open, at most
-> open clients 4                connections of clients
-> tables 60                     rows in all tables of host and module, at most
+> reused w1 2                   at least 2 connections to it were reused
+> idle                          no generation, call, leg or request is left
+> buffered 132000               at most so many bytes, and not none, are buffered for the slowest client
+> sockets 40                    at most 40 connections are open
+> open clients 4                number of client connections
+> tables 60                     at most 60 rows in all tables of host and module
 """
 
 import json
@@ -79,7 +80,7 @@
 
 
 def changed(tree: dict[str, Any], changes: dict[str, str]) -> dict[str, Any]:
-    """`a.b.0`: the JSON value there, one after the last of a list adds to it; `gone` takes it out."""
+    """A copy with values, as JSON, set by path (`a.b.0`). The index after the last extends a list; `gone` removes."""
     tree = deepcopy(tree)
     for path, value in changes.items():
         *parts, last = path.split(".")
@@ -97,7 +98,7 @@
 
 
 class Stage(ScriptedDiscovery, Expectations):
-    """Plays one text."""
+    """Plays one scenario."""
 
     def __init__(self, folder: Path) -> None:
         self.file = folder / "config.json"
@@ -110,15 +111,15 @@
         self.limits = {"sockets": 256, "memory_mb": 64}
         self.opened = self.count = self.asked_at = self.ready_after = 0
         self.revision, self.news, self.silent = 10, list[tuple[int, dict[str, Any]]](), False
-        self.port, self.era, self.spoils, self.calls = DISCOVERY, 0, list[str](), 0
+        self.port, self.epoch, self.answer_kinds, self.calls = DISCOVERY, 0, list[str](), 0
         self.listeners: dict[int, Any] = {}  # discovery's, by port
         self.watching: dict[Stream, int] = {}  # connections of discovery's, by port
         self.bodies: dict[str, bytes] = {}  # of requests, by id
-        self.outcomes: dict[str, list[str]] = {}  # of attempts, by id, once it is over
-        self.told_at = 0  # when discovery had the last change and could be reached
+        self.outcomes: dict[str, list[str]] = {}  # of attempts, by the id of a request that has ended
+        self.changed_at = 0  # when discovery had the last change, or could be reached again
         self.settings = SETTINGS
         self.changes: dict[str, str] = {}  # of the configuration, by path
-        self.modules: list[weakref.ref[Any]] = []  # at each reload
+        self.modules: list[weakref.ref[Any]] = []  # the one in use before each reload
         self.lines: list[tuple[str, dict[str, Any]]] = []  # of the log
         self.host: Any = None
 
@@ -145,8 +146,8 @@
             for number, line in enumerate(lines, 1):
                 try:
                     yield from self.line(line)
-                except AssertionError as wrong:
-                    raise AssertionError(f"line {number}, {line!r}: {wrong}") from None
+                except AssertionError as error:
+                    raise AssertionError(f"line {number}, {line!r}: {error}") from None
             group.cancel()
 
         def main() -> Coro[None]:
@@ -174,7 +175,7 @@
         if result is not None:
             yield from result
 
-    # What happens.
+    # Actions.
 
     def do_config(self, **given: str) -> None:
         self.limits |= {name: int(value) for name, value in given.items()}
@@ -253,7 +254,7 @@
             "up_since_ms": EPOCH_MS + self.world.time // 10 - int(started) if started else 0,
         }
         self.revision += 1
-        self.told_at, self.calls = self.world.now(), 0
+        self.changed_at, self.calls = self.world.now(), 0
         self.news.append((self.revision, dict(self.members[name])))
         if phase == "removed":
             del self.members[name]
@@ -279,7 +280,7 @@
         yield from self.world.sleep(int(count))
 
     def do_rest(self, name: str, ticks: str) -> Coro[None]:
-        """Until the rest of the only connection that has one is over, and so much longer."""
+        """Waits until the idle time of the only idle connection is over, and so many ticks longer."""
         rest = next(one for one in self.door.waiting.values() if one.kept)
         yield from self.world.sleep(rest.scope.timer.when + int(ticks) - self.world.now())
 
@@ -298,7 +299,7 @@
         try:
             stream = yield from self.world.connect(("127.0.0.1", DOOR), SECOND)
         except ConnectFailed:
-            raise AssertionError("the door is closed") from None
+            raise AssertionError("the gateway refuses connections") from None
         client = self.clients[name] = Client(stream, f"{self.count:016x}")
         return client
 
@@ -419,9 +420,9 @@
             client.ended = self.world.now()
             with self.world.limit(100 * MS):
                 client.after = yield from client.stream.recv()
-            if reader.extra:  # it came with the end of the answer
+            if reader.extra:  # arrived together with the end of the answer
                 client.after = data[max(0, data.rfind(b"HTTP/1.1 ")) :]
-        except (Lost, http.BadMessage) as wrong:
-            client.why = str(wrong)
+        except (Lost, http.BadMessage) as error:
+            client.why = str(error)
             client.end = client.end or ("broken" if reader.status else "closed")
             client.ended = client.ended or self.world.now()
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -1,4 +1,4 @@
-"""Counters by class: quantiles against sorted samples, causes, and memory that does not grow."""
+"""Counters by product: quantiles against sorted samples, causes of failure, and memory that does not grow."""
 
 from random import Random
 from typing import Any
@@ -24,22 +24,22 @@
 
 @pytest.mark.parametrize("mean", [5, 60, 900])
 def test_quantiles_are_right_up_to_the_width_of_a_bucket(mean: float) -> None:
-    draw, of = Random(3), Histogram()
-    waits = sorted(int(draw.expovariate(1 / mean) * MS) for _ in range(1000))
-    for wait in waits:
-        of.add(wait)
-    for part, found in zip(QUANTILES, of.quantiles(), strict=True):
-        true = waits[int(part * 1000) - 1]
-        assert true // MS <= found <= max(10, true * 1.42 / MS)
+    random, histogram = Random(3), Histogram()
+    latencies = sorted(int(random.expovariate(1 / mean) * MS) for _ in range(1000))
+    for latency in latencies:
+        histogram.add(latency)
+    for quantile, edge in zip(QUANTILES, histogram.quantiles(), strict=True):
+        true = latencies[int(quantile * 1000) - 1]
+        assert true // MS <= edge <= max(10, true * 1.42 / MS)
 
 
 def test_what_is_longer_than_all_buckets_counts_with_the_last() -> None:
-    of = Histogram()
-    assert of.quantiles() == []
-    of.add(10**9)
-    assert of.quantiles() == [BUCKET_EDGES[-1] // MS] * 3 == [20_480] * 3
-    of.add(0)
-    assert of.quantiles()[0] == 10
+    histogram = Histogram()
+    assert histogram.quantiles() == []
+    histogram.add(10**9)
+    assert histogram.quantiles() == [BUCKET_EDGES[-1] // MS] * 3 == [20_480] * 3
+    histogram.add(0)
+    assert histogram.quantiles()[0] == 10
 
 
 @pytest.mark.parametrize(
@@ -80,7 +80,7 @@
         ("mixed", "streamed"),
         ("reader", "time-out"),
     )
-    for legs, kept in (
+    for legs, cached_tok in (
         ([read], 700),
         ([read], 0),
         ([read, alone], 900),
@@ -89,11 +89,11 @@
         ([lost], 0),
         ([lost, alone], 0),
     ):
-        counters.leg_ended(400, generation(*legs).legs[-1], kept)
+        counters.leg_ended(400, generation(*legs).legs[-1], cached_tok)
     assert counters.take_lines()[0]["kept_tok"] == {
         "readers": [700, 2000],
         "writers": [900, 3000],
-    }  # what was fetched is left out
+    }  # prompts whose KV state was fetched are not counted for the writer
 
 
 def test_waits_by_part() -> None:
@@ -123,7 +123,9 @@
         counters.ended(gen, "streamed", number)
     assert len(counters.by_product) == 3
     assert sum(
-        len(one.counts) for of in counters.by_product.values() for one in of.latencies.values()
+        len(histogram.counts)
+        for product in counters.by_product.values()
+        for histogram in product.latencies.values()
     ) == 3 * 4 * len(BUCKET_EDGES)
     assert [line["ended"] for line in counters.take_lines()] == [10_000] * 3
     assert counters.take_lines() == [] and not counters.by_product
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,5 @@
-"""The platform's front: its codecs row by row, and scenes of `scenarios_platform` in the virtual world."""
+"""The platform's protocol: its codecs, timing and configuration, and the scenarios of
+`scenarios_platform`."""
 
 import json
 import subprocess
@@ -33,20 +34,22 @@
     for spread in (0.0, 0.5, 1.0):
         times = watching.watch_times(spread)
         assert times.margin() >= SECOND and times.recovered() <= 4 * SECOND
-        # No try is given up for others before a good answer has had its time, also where the gaps are shortest.
-        assert sum(times.gap(place) for place in range(watching.MAX_CONNECTIONS)) >= times.answer
+        # No attempt is cancelled for a newer one before a good answer has had its time, even with the
+        # shortest gaps.
+        assert sum(times.gap(attempt) for attempt in range(watching.MAX_CONNECTIONS)) >= times.answer
         assert times.rest < SECOND // 5 and times.grace < times.wait
 
 
 def test_gateways_ask_a_silent_discovery_one_after_another() -> None:
-    """200 that lost their watch in the same moment; 20 a hundredth of a second would be even for the first try."""
+    """200 gateways lose their watch at the same moment; spread evenly, the first attempts would be 20 each 10
+    ms."""
     asked = [0] * 1200
     for number in range(200):
         times = watching.watch_times(watching.gateway_spread(f"n{number}", number))
         when = times.pause
-        for place in range(14):
+        for attempt in range(14):
             asked[when // 100] += 1
-            when += times.gap(place)
+            when += times.gap(attempt)
     assert max(asked) <= 40 and max(asked[100:]) <= 20
 
 
@@ -55,8 +58,8 @@
 def test_bytes_in_the_moment_in_which_a_resting_connection_ends(
     step: str, ticks: int, tmp_path: Path
 ) -> None:
-    """Before, between and after each step, as one way takes 1 to 3 ticks: it is told to stop, its rest is over, its
-    place is wanted."""
+    """A request races the gateway's close of an idle connection: at a stop signal, at the end of its idle
+    time, and when its place is needed for another client. One way takes 1 to 3 ticks, so all orders occur."""
     if step == "rest a":
         moment = [f"rest a {ticks}", "again a chat"]
     elif ticks < 0:
@@ -80,7 +83,7 @@
 
 @pytest.mark.parametrize("ticks", range(90, 116))
 def test_a_request_in_the_moment_in_which_its_new_connection_ends(ticks: int, tmp_path: Path) -> None:
-    """No request has come on it for 1.2 s, that is 12,000 ticks."""
+    """A new connection is closed when no request has come on it for 1.2 s, that is 12,000 ticks."""
     Stage(tmp_path).play(
         [
             "fleet r1 w1",
@@ -101,8 +104,9 @@
 def test_a_client_that_goes_while_its_attempt_is_half_written(
     role: str, how: str, behind: str, ticks: int, tmp_path: Path
 ) -> None:
-    """The servers take 300 bytes and read on after 400 ms; an attempt that were still there would then be whole."""
-    begun = 0 if role == "r" else 45  # a read takes some 30 to 40 ticks
+    """The servers read 300 bytes and the rest after 400 ms; an attempt that was not cancelled would then be
+    complete."""
+    begun = 0 if role == "r" else 45  # a read takes 30 to 40 ticks
     Stage(tmp_path).play(
         [
             "fleet r1 r2 w1 w2",
@@ -188,16 +192,16 @@
         )
         is None
     )
-    assert until("deduplicated", ("reader", 70, None), new) == 3670  # still out
+    assert until("deduplicated", ("reader", 70, None), new) == 3670  # still in progress
     assert until("idempotent", ("writer", 100, "reset"), new) is None
 
 
 def test_what_waits_for_slow_clients_follows_from_the_limits() -> None:
     for memory_mb, sockets in ((24, 32), (64, 256), (64, 512), (128, 1024), (1024, 64)):
         clients = int((sockets - RESERVED_DESCRIPTORS) * CLIENT_SHARE)
-        one = pacing.buffer(memory_mb << 17, clients, MAX_BODY)
-        assert one * clients <= memory_mb << 17 and one <= MAX_BODY
-    # 20 KB in events of 200 bytes, a token every 60 ms: 100 tokens, owed in 6 s.
+        buffer = pacing.buffer(memory_mb << 17, clients, MAX_BODY)
+        assert buffer * clients <= memory_mb << 17 and buffer <= MAX_BODY
+    # 20 KB in events of 200 bytes, a token every 60 ms: 100 tokens, due within 6 s.
     assert pacing.time_to_take(20_000, 400_000, 2000, 600) == 2 * 6 * SECOND
     assert (
         pacing.time_to_take(20_000, 400_000, 2000, 0) is None
@@ -305,7 +309,7 @@
 
 
 def test_the_start_brings_in_nothing_that_it_has_no_use_for() -> None:
-    """Many gateways restart at once on few cores, each with a sliver of one: imports are what their start consists of."""
+    """When many gateways restart at once on few cores, imports dominate the time of their start."""
     unwanted = {
         "asyncio",
         "concurrent.futures",
@@ -364,7 +368,8 @@
 
 
 def test_the_module_is_told_of_no_messages_that_this_front_does_not_carry(tmp_path: Path) -> None:
-    """Settings may allow words between gateways and probes; a module that counts on them waits for what never comes."""
+    """The settings may allow gossip and probes, which this protocol lacks; a module that relied on them would
+    wait in vain."""
     allowed = {
         "bounds": {**SETTINGS["bounds"], "peers": True, "probes": True},
         "report": {"fields": ["x0"], "via": "pull"},
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -1,4 +1,4 @@
-"""A real gateway of the platform whose descriptors idle clients try to fill while discovery is down."""
+"""Descriptor limits: idle clients must not take the descriptors that discovery, releases and legs need."""
 
 import socket
 import time
@@ -49,19 +49,20 @@
 def test_a_starved_process_takes_up_discovery_and_lets_go_while_idle_clients_fill_its_descriptors(
     tmp_path: Path, sockets: int
 ) -> None:
-    """It runs a quarter of the time. The read's connection ends with its answer, so the release needs a new one; it is owed
-    within 0.8 s of the read's end, and may wait once until the process runs again."""
+    """The process runs a quarter of the time. The read's connection ends with its answer, so the release
+    needs a new one. It is due within 0.8 s of the read's end and may wait once until the process runs
+    again."""
     read = http.response(202, b'{"cached_tokens":4}', [("connection", "close")])
     agent, servers = Agent(), [Server("r1", read), Server("w1", read)]
     agent.members = [one.member for one in servers]
     with Gateway(tmp_path, agent, sockets) as gateway:
         watch = agent.told(10)
-        own = gateway.held() - 1  # less its watch, which is about to end
+        own = gateway.held() - 1  # without its watch, which is about to end
         gateway.starve(0.3, 0.1)
         crowd = gateway.crowd(4 * MOST, 0.05)
         agent.listener.close()
         watch.close()
-        assert waited(lambda: gateway.held() >= own + CLIENT_PLACES, 3), "the crowd is not let in"
+        assert waited(lambda: gateway.held() >= own + CLIENT_PLACES, 3), "the idle clients are not accepted"
         waited(lambda: gateway.held() >= MOST, 2)
         agent.revision = 2
         agent.up()
@@ -89,7 +90,8 @@
 
 
 def test_a_full_queue_that_is_accepted_in_one_go_keeps_to_the_bound() -> None:
-    """The listener gives connection after connection without a wait, so no task runs that would close one."""
+    """The listener returns connection after connection without a wait, so no task that would close one gets
+    to run."""
 
     class Accepted:
         closed = False
@@ -146,18 +148,18 @@
 ) -> None:
     world, budget, got = VirtualWorld(1), Budget(1), list[int]()
     ports = [world.listen(("127.0.0.1", port)).address for port in (6000, 6001)]
-    ours, other = (Pool(world, address, 4, SECOND // 4, SECOND, 0, budget) for address in ports)
+    first, second = (Pool(world, address, 4, SECOND // 4, SECOND, 0, budget) for address in ports)
 
     def late() -> Coro[None]:
-        stream = yield from other.take([Phase.QUEUED])
+        stream = yield from second.take([Phase.QUEUED])
         got.append(world.now())
-        other.drop(stream)
+        second.drop(stream)
 
     def body(group: Group) -> Coro[None]:
-        stream = yield from ours.take([Phase.QUEUED])
+        stream = yield from first.take([Phase.QUEUED])
         group.spawn(late(), "late")
         yield from world.sleep(50 * MS)
-        (ours.give if kept else ours.drop)(stream)
+        (first.give if kept else first.drop)(stream)
         freed.append(world.now())
 
     freed: list[int] = []
@@ -165,7 +167,7 @@
     assert got[0] - freed[0] < 10 * MS and budget.open == 0
 
 
-Act = tuple[int, str]  # ms after the last one, and `name pool [for]`, `free` or `cancel name`
+Act = tuple[int, str]  # ms after the last one, and `name pool`, `free` or `cancel name`
 
 
 @pytest.mark.parametrize(
@@ -173,23 +175,15 @@
     [
         ([(1, "b B"), (1, "a A"), (1, "free"), (5, "free")], "b a"),  # the pools were made as A, B
         ([(1, "b B"), (1, "a A"), (1, "c B"), (1, "free"), (5, "free"), (5, "free")], "b a c"),
-        (
-            [(1, "b B"), (1, "a O"), (1, "free"), (5, "free")],
-            "b a",
-        ),  # also where the place is one of another's own server
-        (
-            [(1, "b B"), (1, "free"), (0, "a O"), (5, "free")],
-            "b a",
-        ),  # one that comes as it is woken takes nothing from it
-        (
-            [(1, "b B"), (1, "a A"), (1, "free"), (0, "cancel b")],
-            "a",
-        ),  # woken and ended at once: the place is another's
+        # Also if the free connection belongs to the later one's own server.
+        ([(1, "b B"), (1, "a O"), (1, "free"), (5, "free")], "b a"),
+        # One that arrives as the first is woken takes nothing from it.
+        ([(1, "b B"), (1, "free"), (0, "a O"), (5, "free")], "b a"),
+        # Woken and cancelled at once: the next one gets the connection.
+        ([(1, "b B"), (1, "a A"), (1, "free"), (0, "cancel b")], "a"),
         ([(1, "b B"), (1, "a A"), (0, "cancel b"), (0, "free")], "a"),
-        (
-            [(1, "b B"), (1, "a A"), (249, "free")],
-            "a",
-        ),  # handed over in the turn in which its time is up: it is another's
+        # Woken in the turn in which its time limit ends: the next one gets the connection.
+        ([(1, "b B"), (1, "a A"), (249, "free")], "a"),
         ([(1, "b B"), (0, "a A"), (250, "free")], ""),
     ],
     ids=str,
--- a/tests/test_platform_floods.py
+++ b/tests/test_platform_floods.py
@@ -1,4 +1,5 @@
-"""A real gateway of the platform among many clients that read nothing of long answers: memory, descriptors, others' service."""
+"""Many clients that don't read their long answers must not exhaust a gateway's memory or descriptors, nor
+delay others."""
 
 import socket
 import time
@@ -16,7 +17,7 @@
 
 
 class Writer(Server):
-    """Answers without an end whoever has an id that begins with f, others at once."""
+    """Streams without end to ids that begin with f; answers others at once."""
 
     def respond(self, stream: socket.socket, name: str) -> None:
         stream.sendall(HEAD + WIDE[: len(WIDE) // 4])
@@ -27,25 +28,26 @@
 
 def resident_mb(pid: int) -> float:
     line = next(
-        one for one in Path(f"/proc/{pid}/status").read_text().splitlines() if one.startswith("VmRSS")
+        entry for entry in Path(f"/proc/{pid}/status").read_text().splitlines() if entry.startswith("VmRSS")
     )
     return int(line.split()[1]) / 1024
 
 
 def served(port: int, number: int) -> float:
-    """Seconds that an ask took; it is answered whole."""
+    """Sends a request and reads the complete answer; returns the seconds that it took."""
     begun, got = time.monotonic(), b""
-    with ask(port, f"{number:016x}", "chat") as one:
-        one.settimeout(5)
+    with ask(port, f"{number:016x}", "chat") as client:
+        client.settimeout(5)
         while not got.endswith(http.LAST_CHUNK):
-            data = one.recv(65536)
+            data = client.recv(65536)
             got += data
             assert data and got.startswith(b"HTTP/1.1 200 "), f"{got[:80]!r}"
     return time.monotonic() - begun
 
 
 def test_clients_that_read_nothing_cost_neither_memory_nor_others_service(tmp_path: Path) -> None:
-    """150 of 204 clients, each with an answer of up to 4 MiB. What waits for all clients fits in an eighth of the memory."""
+    """150 of 204 possible clients, each with an answer of up to 4 MiB. An eighth of the memory may be used to
+    buffer for all clients."""
     reader, writer = Server("r1", http.response(202, b'{"cached_tokens":4}')), Writer("w1", b"")
     reader.go.set()
     writer.go.set()
@@ -62,8 +64,8 @@
         base = most = resident_mb(pid)
         took: list[float] = []
         for number in range(SLOW):
-            one = ask(gateway.port, f"f{number:015x}", "chat", small=True)
-            slow.append(one)
+            client = ask(gateway.port, f"f{number:015x}", "chat", small=True)
+            slow.append(client)
             if number % 5 == 0:
                 took.append(served(gateway.port, 1000 + number))
             most = max(most, resident_mb(pid))
@@ -75,15 +77,15 @@
         got = sum(path.startswith("/v1/") for _, path, _ in writer.got) - len(took) - 20
         took.sort()
         print(
-            f"{got} answers without an end, resident {base:.1f} to {most:.1f} MB, {gateway.peak} descriptors, "
+            f"{got} endless answers, resident {base:.1f} to {most:.1f} MB, {gateway.peak} descriptors, "
             f"0.95 of others in {took[int(len(took) * 0.95)] * 1e3:.0f} ms, {alone * 1e3:.0f} alone"
         )
-        assert got > SLOW * 0.9, "they were not let in"
+        assert got > SLOW * 0.9, "the slow clients were not accepted"
         assert most < MEMORY_MB * 7 / 8, f"{base:.1f} to {most:.1f} MB"
         assert took[int(len(took) * 0.95)] < 1, f"others waited {took}"
         assert gateway.peak <= SOCKETS
         assert waited(lambda: gateway.held() <= before + 4, 9), (
             f"{gateway.held()} descriptors stay, {before} before"
         )
-    for one in slow:
-        one.close()
+    for client in slow:
+        client.close()
--- a/tests/test_releasing.py
+++ b/tests/test_releasing.py
@@ -1,4 +1,7 @@
-"""A release is on its way before whatever its request does next: it would take the state of a read that it follows."""
+"""Releases: order, overlap and retries.
+
+A release that is sent late would destroy the KV state of a read that the same request starts after it. One
+that asks silent servers one after another would exceed the time for which state may be held."""
 
 from types import SimpleNamespace
 from typing import Any
@@ -16,7 +19,7 @@
 
 
 class Request:
-    """`attempts_out` and `streams` are set by the test."""
+    """`attempts_out` (whether an attempt is in progress) and `streams` are set by the test."""
 
     name, legs, attempts_out, streams = "x", list[Any](), False, False
 
@@ -28,7 +31,8 @@
 
 
 class Workers:
-    """What a release uses of its host. `silent`: workers that take nothing until then; `told`: names and times."""
+    """What a release uses of its host. `silent`: servers that don't answer before `until`; `told`: names of
+    the servers that were asked, and when."""
 
     def __init__(self, names: str, silent: str, until: int = 1 << 30) -> None:
         self.until, self.request = until, Request()
@@ -74,7 +78,7 @@
 
 @pytest.mark.parametrize("runs", ["a", "b", "e", "p"])
 def test_of_sixteen_workers_the_one_that_runs_is_found_in_time(runs: str) -> None:
-    """The first is told alone, each next step tells as many or more, and none is told twice."""
+    """The first is asked alone, each later step asks at least as many, and none is asked twice."""
     names = "abcdefghijklmnop"
     workers = Workers(names, names.replace(runs, ""))
     workers.world.run(workers.release().run())
@@ -105,7 +109,7 @@
 
 
 def test_a_release_is_tried_until_a_worker_runs_again() -> None:
-    """All take nothing for eight seconds."""
+    """All servers are silent for eight seconds."""
     workers = Workers("abc", "abc", until=8 * SECOND)
     release = workers.release()
     workers.world.run(release.run())
@@ -114,8 +118,8 @@
 
 @pytest.mark.parametrize("out_before", [False, True])
 def test_a_late_try_does_not_tear_the_state_of_a_newer_attempt(out_before: bool) -> None:
-    """All workers are silent for 0.6 s. An attempt that begins after the release holds its late tries back until it ends,
-    one that was out before, and may never have arrived, does not."""
+    """All servers are silent for 0.6 s. An attempt that starts after the release delays its late steps until
+    it ends; one that was in progress before, and may never have arrived, does not."""
     workers = Workers("abc", "abc", until=600 * MS)
     workers.request.attempts_out = out_before
     release = workers.release()
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,5 @@
-"""A gateway process and its files, written in all the ways in which files are written."""
+"""A gateway process must notice every change of its files, however they are written, and survive broken
+ones."""
 
 import json
 import os
@@ -17,7 +18,7 @@
 
 
 class Gateway:
-    """One process with a folder of files. Ports are the system's to choose; the log says which."""
+    """One process with a folder of files. The system chooses the ports; the log tells them."""
 
     def __init__(self, folder, **settings):
         self.folder, self.path = folder, folder / "live" / "fleet.json"
@@ -72,12 +73,13 @@
         )
 
     def next(self, **more):
-        """A list that differs from the one before."""
+        """A list that differs from the previous one."""
         self.version += 1
         return self.text(count=6 + self.version % 3, **more)
 
     def put(self, text):
-        """Whole at once, whatever else the machine does: what is counted afterwards is what was meant."""
+        """Replaces the list atomically, so that a busy machine can't expose a partial file that would count
+        as one more rejection."""
         beside = self.folder / "beside"
         beside.write_text(text)
         os.replace(beside, self.path)
@@ -87,9 +89,9 @@
 
     def events(self, name):
         return [
-            one
-            for one in map(json.loads, (self.folder / "log").read_text().splitlines())
-            if one["event"] == name
+            line
+            for line in map(json.loads, (self.folder / "log").read_text().splitlines())
+            if line["event"] == name
         ]
 
     def comes_to(self, enough, within=6):
@@ -143,7 +145,7 @@
                 time.sleep(0.01)
 
     def swapped_link():
-        """As folders of configuration are brought up to date: a link to a folder that is swapped."""
+        """As mounted configuration folders are updated: a symbolic link to a folder is replaced."""
         for name in ("a", "b"):
             data = folder.parent / f"data-{name}-{gateway.version}"
             data.mkdir()
@@ -221,7 +223,7 @@
         gateway.put(text)
         gateway.rejects(words)
         time.sleep(0.1)
-        gateway.put(text)  # the same again is no news
+        gateway.put(text)  # the same content again is not reported
         time.sleep(0.5)
         told = gateway.status()
         assert (told["version"], told["servers"]) == (1, 12), text[:60]
@@ -242,7 +244,7 @@
 def test_lists_that_are_held_back_confirmed_rolled_back(tmp_path):
     gateway = Gateway(
         tmp_path, membership={"persist_ms": 60_000, "step_ms": 200}
-    )  # held for as long as the commands take
+    )  # longer than the commands take
 
     def begun(*words):
         return subprocess.Popen(
@@ -283,9 +285,9 @@
     gateway.comes_to(lambda _: any("membership" in one["changed"] for one in gateway.events("settings")))
     gateway.put(only_writers.replace('"version": 2', '"version": 3'))
     gateway.comes_to(lambda _: len(gateway.events("list_held_back")) == 2)
-    gateway.comes_to(lambda told: not told["held"] and told["servers"] == 6, within=9)  # it has stood
+    gateway.comes_to(lambda told: not told["held"] and told["servers"] == 6, within=9)  # after `persist_ms`
     held, taken = gateway.events("list_held_back")[-1], gateway.events("list")[-1]
-    assert seconds(taken) - seconds(held) > 0.9, "no sooner than it has stood for its time"
+    assert seconds(taken) - seconds(held) > 0.9, "it came into force before `persist_ms` was over"
     assert fleet("status")[0] == 0
     gateway.end()
 
@@ -346,9 +348,8 @@
     end = time.monotonic() + 2
     text, writes = gateway.text(), 0
     while time.monotonic() < end:
-        with gateway.path.open(
-            "r+"
-        ) as file:  # in place: some disks take 90 ms over a file cut and written anew
+        # In place: some disks take 90 ms to truncate and rewrite a file.
+        with gateway.path.open("r+") as file:
             file.write(text)
         writes += 1
         time.sleep(0.0008)
@@ -366,7 +367,7 @@
 
 
 def test_where_there_is_no_inotify_files_are_looked_at(tmp_path):
-    """The same process, in which no inotify descriptor can be had."""
+    """The gateway polls its files if it gets no inotify descriptor."""
     hook = tmp_path / "hook"
     hook.mkdir()
     (hook / "sitecustomize.py").write_text(
@@ -380,7 +381,7 @@
         os.environ.pop("PYTHONPATH")
         if before is not None:
             os.environ["PYTHONPATH"] = before
-    gateway.comes_to(lambda _: gateway.events("no_watch"))  # the line may come just after the port is told
+    gateway.comes_to(lambda _: gateway.events("no_watch"))  # may be logged just after the ports
     gateway.put(gateway.next())
     gateway.takes()
     gateway.put(gateway.next()[:-9])
