--- a/stackpitch/gateway/admin.py
+++ b/stackpitch/gateway/admin.py
@@ -28,8 +28,11 @@
         body_handlers: dict[str, BodyHandler] | None = None,
         max_body: int = 8192,
     ) -> None:
-        """`routes`: by method and path. `body_handlers`: by path, for POST requests with a body of at most
-        `max_body` bytes. `stream_handlers`: by path prefix."""
+        """`routes`: by method and path.
+
+        `body_handlers`: by path, for POST requests with a body of at most `max_body` bytes.
+        `stream_handlers`: by path prefix.
+        """
         self.world, self.routes, self.body_handlers, self.max_body = (
             world,
             routes,
--- a/stackpitch/gateway/counters.py
+++ b/stackpitch/gateway/counters.py
@@ -1,9 +1,9 @@
-"""Counters by product since they were last logged: cached tokens, latencies by role, and failures by cause.
-Pure.
+"""Counters by product: cached tokens, latencies by role, and failures by cause. Pure.
 
-Memory is bounded by the number of products. Latencies are counted in buckets whose edges grow by a factor of
-1.41, which is the precision of the quantiles. Counts of several gateways, or of successive lines, can be
-added; quantiles can't."""
+They count since they were last logged. Memory is bounded by the number of products. Latencies are counted in
+buckets whose edges grow by a factor of 1.41, which is the precision of the quantiles. Counts of several
+gateways, or of successive lines, can be added; quantiles can't.
+"""
 
 from bisect import bisect_left
 from math import ceil
--- a/stackpitch/gateway/duties.py
+++ b/stackpitch/gateway/duties.py
@@ -67,8 +67,10 @@
     client_listener: Door,
     admin: Admin,
 ) -> Callable[[str], bool]:
-    """Adds the vocabulary task. Returns the check whether servers may run on a vocabulary, for releases of
-    weights."""
+    """Adds the vocabulary task.
+
+    Returns the check whether servers may run on a vocabulary, for releases of weights.
+    """
     from stackpitch.duties.vocabulary.judging import Files, InChild, InSteps
     from stackpitch.duties.vocabulary.work import VocabularyWork
     from stackpitch.gateway import token_ids
--- a/stackpitch/gateway/engine_weights.py
+++ b/stackpitch/gateway/engine_weights.py
@@ -1,7 +1,6 @@
-"""Which weights the engines of a gateway's site run on, and the call to load a version that is in place and
-released.
+"""Tracks which weights the engines of a gateway's site run on, and has them load a released version.
 
-    POST /v1/weights {"model": M, "version": V}   load it; answered at once
+    POST /v1/weights {"model": M, "version": V}   load this version; answered at once
     GET /v1/weights                               {"weights": {M: V}}: what the engine runs on now
 
 An engine that doesn't know these calls, or doesn't answer, may run on any version, so none may be deleted.
@@ -19,8 +18,11 @@
 
 
 class SiteEngines:
-    """`versions`: model to version, by server of the zone, from its last answer. Emptied of servers that are
-    gone by the next poll."""
+    """The engines of one zone.
+
+    `versions`: model to version, by server of the zone, from its last answer. Emptied of servers that are
+    gone by the next poll.
+    """
 
     def __init__(self, world: World, host: Host, zone: str) -> None:
         self.world, self.host, self.zone = world, host, zone
@@ -36,8 +38,10 @@
         ]
 
     def used(self, model: str, version: str) -> bool:
-        """Whether an engine runs on this version, or may. Uses the last poll's result and starts a new poll
-        if it is old."""
+        """Whether an engine runs on this version, or may.
+
+        Uses the last poll's result and starts a new poll if it is old.
+        """
         if not self.polling and self.world.now() - self.polled_at >= POLL_INTERVAL:
             self.polling = True
             self.host.group.spawn(self._poll(), "weights of engines")
--- a/stackpitch/gateway/metrics.py
+++ b/stackpitch/gateway/metrics.py
@@ -89,8 +89,10 @@
         )
 
     def register_weights(self, states: Callable[[], dict[str, int]], failing: Callable[[], bool]) -> Counter:
-        """Adds the metrics of model weights at this gateway's site, where the settings name them. Returns the
-        counter of errors by their name in the log. `failing`: whether weights can't be written."""
+        """Adds the metrics of model weights at this gateway's site, where the settings name them.
+
+        Returns the counter of errors by their name in the log. `failing`: whether weights can't be written.
+        """
         registry = self.registry
         versions = Gauge(
             "stackpitch_weights_versions", "Versions of weights here by state", ["state"], registry=registry
--- a/stackpitch/gateway/roster.py
+++ b/stackpitch/gateway/roster.py
@@ -10,8 +10,10 @@
 
 
 class Roster:
-    """The listed servers by name. A server keeps its object for as long as its identity (zone, kind, cell,
-    ...) is the same.
+    """The listed servers by name.
+
+    A server keeps its object for as long as its identity (zone, kind, cell, vocabulary, role, memory) is the
+    same.
 
     Emptied of servers that are gone by `forget`, which the host calls once the last leg there has ended.
     """
@@ -26,8 +28,11 @@
         self.starts = Starts(world)
 
     def apply(self, version: int, entries: Sequence[Entry], current: bool = True) -> list[Server]:
-        """Applies a checked, complete list and returns the servers that are new or changed. Servers that are
-        missing from it are gone from now on. `current`: False for a list that may be out of date."""
+        """Applies a checked, complete list and returns the servers that are new or changed.
+
+        Servers that are missing from it are gone from now on. `current`: False for a list that may be out of
+        date.
+        """
         listed = {entry.name: entry for entry in entries}
         for name in self.servers.keys() - listed.keys():
             self.servers[name].state = "gone"
@@ -70,8 +75,10 @@
         return server
 
     def set_kinds(self, kinds: Mapping[str, tuple[Role, int]]) -> None:
-        """Sets other roles and memory sizes for kinds. The next list is then applied in full, as to an empty
-        roster."""
+        """Sets other roles and memory sizes for kinds.
+
+        The next list is then applied in full, as to an empty roster.
+        """
         self.kinds, self.entries = kinds, {}
 
     def forget(self, server: Server) -> None:
--- a/stackpitch/gateway/roster_manager/__init__.py
+++ b/stackpitch/gateway/roster_manager/__init__.py
@@ -1,8 +1,9 @@
-"""Brings server lists from files into the decision module: watches files, has them checked, applies and
-persists lists.
+"""Brings server lists from files into the decision module.
 
-Nothing is decided here. The registrar decides which list comes into force (`membership.registrar`), the
-checker what a valid set of files is (`membership.bundle`)."""
+It watches the files, has them checked, and applies and persists lists. Nothing is decided here: the registrar
+decides which list comes into force (`membership.registrar`), the checker what a valid set of files is
+(`membership.bundle`).
+"""
 
 from stackpitch.gateway.roster_manager.manager import RosterManager
 
--- a/stackpitch/gateway/roster_manager/active.py
+++ b/stackpitch/gateway/roster_manager/active.py
@@ -29,7 +29,10 @@
 
 
 class ActiveRoster:
-    """`applied`: the entries that the decision module has; replaced by each list."""
+    """The list in force and the verdict on the last one.
+
+    `applied`: the entries that the decision module has; replaced by each list.
+    """
 
     def __init__(
         self, world: World, log: Log, metrics: Metrics, host: Host, history: History, settings: Settings
@@ -44,8 +47,10 @@
         self.applied: dict[str, Entry] = {}
 
     def restore(self, last: Kept) -> None:
-        """Applies the list that was in force before a restart; the files are then compared with it as at any
-        other time."""
+        """Applies the list that was in force before a restart.
+
+        The files are then compared with it as at any other time.
+        """
         proposal = Proposal("file", last.version, last.digest, last.entries)
         self.apply(
             self.registrar.propose(self.world.now(), proposal, force=True),
@@ -55,8 +60,10 @@
         )
 
     def propose(self, bundle: Bundle, force: bool) -> Verdict:
-        """The registrar's verdict on the list of the files. `force`: without its doubts about missing
-        servers."""
+        """The registrar's verdict on the list of the files.
+
+        `force`: without its doubts about missing servers.
+        """
         proposal = Proposal("file", bundle.version, bundle.digest, bundle.entries)
         return self.registrar.propose(self.world.now(), proposal, force)
 
@@ -88,8 +95,10 @@
         is_new: bool = True,
         changed: Change | None = None,
     ) -> None:
-        """Applies what is in force now. `is_new`: it is to be persisted; a list restored after a restart may
-        be out of date."""
+        """Applies what is in force now.
+
+        `is_new`: it is to be persisted; a list restored after a restart may be out of date.
+        """
         if verdict.entries is None:
             return
         changed = changed if changed is not None else self.changed(verdict)
@@ -172,8 +181,11 @@
         return None
 
     def rollback(self, digest: str) -> str | None:
-        """Goes back to a persisted list, all at once: the newest whose digest starts with `digest`; the last
-        but one if that is empty. The list stays until the files change. Returns an error message or None."""
+        """Goes back to a persisted list, all at once. Returns an error message or None.
+
+        That is the newest list whose digest starts with `digest`; the last but one if `digest` is empty. The
+        list stays until the files change.
+        """
         lists = self.history.lists
         target = (
             next((record for record in reversed(lists) if record.digest.startswith(digest)), None)
--- a/stackpitch/gateway/roster_manager/checker.py
+++ b/stackpitch/gateway/roster_manager/checker.py
@@ -1,5 +1,7 @@
-"""The child process that reads and checks files for a gateway, and the protocol of lines that it answers
-in."""
+"""The child process that reads and checks files for a gateway.
+
+It answers in lines of JSON: a bundle, then its entries.
+"""
 
 import sys
 from collections.abc import Mapping
@@ -42,8 +44,10 @@
         self.stream: Stream | None = None
 
     def check(self, config: Path, given: Mapping[str, str], limit: Time) -> Coro[Bundle]:
-        """Has the files of a configuration read and checked within `limit`. A failure of the check itself is
-        reported as a problem of the bundle."""
+        """Has the files of a configuration read and checked within `limit`.
+
+        A failure of the check itself is reported as a problem of the bundle.
+        """
         try:
             with self.world.limit(limit) as scope:
                 if self.stream is None:
--- a/stackpitch/gateway/roster_manager/files.py
+++ b/stackpitch/gateway/roster_manager/files.py
@@ -1,5 +1,4 @@
-"""The files that a gateway reads its lists and settings from: where they are, and whether they have
-changed."""
+"""The files that a gateway reads: where they are, and whether they have changed."""
 
 import os
 from pathlib import Path
--- a/stackpitch/gateway/roster_manager/history.py
+++ b/stackpitch/gateway/roster_manager/history.py
@@ -11,7 +11,7 @@
 
 
 class History:
-    """Persists to `file`; nothing if its name is empty."""
+    """Persists lists and verdicts to `file`; nothing if its name is empty."""
 
     def __init__(self, world: World, group: Group, log: Log, metrics: Metrics, file: str) -> None:
         self.world, self.group, self.log, self.metrics = world, group, log, metrics
--- a/stackpitch/gateway/roster_manager/manager.py
+++ b/stackpitch/gateway/roster_manager/manager.py
@@ -1,5 +1,7 @@
-"""Watches the files, has them checked, and passes their lists to the active roster and their settings to the
-gateway."""
+"""Watches the files and has them checked.
+
+Their lists go to the active roster, their settings to the gateway.
+"""
 
 from collections.abc import Callable, Mapping
 from pathlib import Path
@@ -37,8 +39,10 @@
 
 
 class RosterManager:
-    """Manages one gateway's lists. `config` None: the settings come from no file, and lists are read in this
-    process."""
+    """Manages one gateway's lists.
+
+    `config` None: the settings come from no file, and lists are read in this process.
+    """
 
     def __init__(
         self,
@@ -89,8 +93,10 @@
             self.log.warning("roster_kept", file=self.settings.kept, version=self.active.version)
 
     def reload_blocking(self, force: bool = False) -> str | None:
-        """Reads and applies the files in this process; returns what is wrong. For callers that don't
-        `run`."""
+        """Reads and applies the files in this process; returns what is wrong.
+
+        For callers that don't `run`.
+        """
         bundle = read_set(self.config, self.given, self.settings)
         return run_now(self._apply(bundle, force, pauses=False))
 
@@ -167,8 +173,10 @@
         )
 
     def _apply(self, bundle: Bundle, force: bool, pauses: bool) -> Coro[str | None]:
-        """Returns what is wrong. `pauses`: whether other tasks may run between its parts; a list is still
-        applied all at once."""
+        """Applies a checked bundle; returns what is wrong.
+
+        `pauses`: whether other tasks may run between its parts; a list is still applied all at once.
+        """
         active, same = self.active, bundle.seen == self.digests
         self.digests = bundle.seen
         if bundle.problems:
--- a/stackpitch/gateway/token_ids.py
+++ b/stackpitch/gateway/token_ids.py
@@ -1,8 +1,8 @@
-"""Translates token ids in requests: which vocabulary they are written for, and what they are on servers of
-each.
+"""Translates token ids in requests between the vocabularies of servers.
 
-The coordinated task decides (`duties.vocabulary.acting`); this module connects it to requests and to the
-admin port."""
+The coordinated task decides which vocabulary they are written for and what they are on servers of each
+(`duties.vocabulary.acting`); this module connects it to requests and to the admin port.
+"""
 
 from typing import Any
 
@@ -22,7 +22,10 @@
 
 
 class TokenIdTranslator:
-    """`list_number`: of the list that the task was last notified of."""
+    """Translates the token ids of requests.
+
+    `list_number`: of the list that the task was last notified of.
+    """
 
     def __init__(self, work: VocabularyWork, roster: Roster) -> None:
         self.work, self.roster, self.list_number = work, roster, -1
@@ -35,9 +38,11 @@
             )
 
     def spoken(self, facts: Facts) -> TranslatedFields | None:
-        """By each vocabulary that the request may be sent to, the fields that replace those of the body; None
-        if it has no token ids. Removes the gateway's own fields from the body. Raises BadRequest, with its
-        meaning and remedy, or BadMessage while the vocabulary's files have not been read yet."""
+        """The fields that replace those of the body, by each vocabulary that the request may be sent to.
+
+        None if it has no token ids. Removes the gateway's own fields from the body. Raises BadRequest, with
+        its meaning and remedy, or BadMessage while the vocabulary's files have not been read yet.
+        """
         self._notify_list()
         customer = facts.customer.name if facts.customer is not None else None
         try:
@@ -65,8 +70,10 @@
 
 
 def routes(work: VocabularyWork, confirm: RouteHandler) -> dict[tuple[str, str], RouteHandler]:
-    """The admin routes for operators' requests about a change of vocabulary. Confirmations share the route
-    that confirms lists, `confirm`, and are told apart by their digest."""
+    """The admin routes for operators' requests about a change of vocabulary.
+
+    Confirmations share the route that confirms lists, `confirm`, and are told apart by their digest.
+    """
 
     def answered(asking: Asking) -> Coro[tuple[int, bytes]]:
         answer: Answer = yield from work.ask(asking)
--- a/stackpitch/gateway/trace.py
+++ b/stackpitch/gateway/trace.py
@@ -1,7 +1,8 @@
 """Traces of single requests, step by step, and the reasons why client connections ended. Pure.
 
 Each request carries its steps. Those of requests that were not served are logged, up to a limit each second,
-with the number that was suppressed. With `TRACE_ALL` in the environment all requests are logged."""
+with the number that was suppressed. With `TRACE_ALL` in the environment all requests are logged.
+"""
 
 from enum import StrEnum
 
--- a/stackpitch/platform/config.py
+++ b/stackpitch/platform/config.py
@@ -69,8 +69,10 @@
 
 
 def read(environ: Mapping[str, str]) -> Config:
-    """Reads the file that `RELAY_CONFIG` names in `environ`. Raises ConfigError; UnreadableConfig where a
-    retry may help."""
+    """Reads the file that `RELAY_CONFIG` names in `environ`.
+
+    Raises ConfigError; UnreadableConfig where a retry may help.
+    """
     path = environ.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG: missing")
--- a/stackpitch/platform/discovery.py
+++ b/stackpitch/platform/discovery.py
@@ -1,7 +1,8 @@
-"""Follows discovery's list of servers by long polling and applies each update to the host.
+"""Follows discovery's list of servers by one continuous watch (long polling) and applies each update.
 
 After a failure the complete list is requested, as that is answered without waiting. Such attempts overlap;
-`watching` defines their timing and the bound that it keeps."""
+`watching` defines their timing and the bound that it keeps.
+"""
 
 from collections import deque
 from collections.abc import Mapping
@@ -27,15 +28,19 @@
 
 
 class BadAnswer(Exception):
-    """Discovery's answer is not a valid list; the message says what came. The connection that it came on is
-    closed."""
+    """Discovery's answer is not a valid list; the message says what came.
+
+    The connection that it came on is closed.
+    """
 
     allowed = f"status 200 and a list as JSON of at most {MAX_LIST} bytes"
     remedy = "check which service answers at discovery's address; the current list stays in force"
 
 
 class Discovery:
-    """`entries` is the list in force by name: members that are removed, or missing from a complete list, are
+    """Keeps the list of servers in step with discovery.
+
+    `entries` is the list in force by name: members that are removed, or missing from a complete list, are
     dropped.
 
     `logged_causes`: causes logged since the last list; emptied by the next.
@@ -68,8 +73,11 @@
                 self.scope.cancel()
 
     def apply(self, update: platform.Listed, current: bool = False) -> None:
-        """Applies an update. An invalid member is left out; if it was listed before it keeps its previous
-        entry. `current`: the update is discovery's present state."""
+        """Applies an update.
+
+        An invalid member is left out; if it was listed before it keeps its previous entry. `current`: the
+        update is discovery's present state.
+        """
         before = dict(self.entries)
         if update.complete:
             self.entries, self.unknown = {}, {}
@@ -117,8 +125,10 @@
         return False
 
     def set_kinds(self, kinds: Mapping[str, tuple[Role, int]]) -> None:
-        """Applies new kinds of servers: the complete list is applied again, with the members whose kind is
-        known now."""
+        """Applies new kinds of servers.
+
+        The complete list is applied again, with the members whose kind is known now.
+        """
         self.host.roster.set_kinds(kinds)
         listed = [*self.entries.values(), *self.unknown.values()]
         self.entries = {entry.name: entry for entry in listed if self._kind_known(entry)}
@@ -222,8 +232,10 @@
         self.revision, self.list_received = update.revision, True
 
     def _watch(self, stream: Stream) -> Coro[None]:
-        """Watches for changes. Each answer is followed by the next call, on a new connection if discovery
-        closed the old one."""
+        """Watches for changes.
+
+        Each answer is followed by the next call, on a new connection if discovery closed the old one.
+        """
         update: platform.Listed | None
         try:
             while True:
@@ -254,8 +266,10 @@
             stream.close()
 
     def _call(self, stream: Stream, target: str) -> Coro[tuple[platform.Listed, bool]]:
-        """Returns the answer and whether the connection can be used for another call. Raises Lost,
-        BadAnswer."""
+        """Returns the answer and whether the connection can be used for another call.
+
+        Raises Lost, BadAnswer.
+        """
         host, port = self.target
         reader = http.ResponseReader(1 << 14, MAX_LIST)
         stream.write(http.request("GET", target, f"{host}:{port}", b""))
--- a/stackpitch/platform/leg.py
+++ b/stackpitch/platform/leg.py
@@ -18,8 +18,10 @@
 
 
 class PlatformLeg(LegRun):
-    """The client's stream starts with the first complete event; until then an invalid answer only fails the
-    leg."""
+    """Runs one leg to a model server.
+
+    The client's stream starts with the first complete event; until then an invalid answer only fails the leg.
+    """
 
     def __init__(self, host: "Host", ask: PlatformRequest, leg: Leg, limit: Time) -> None:
         super().__init__(host, ask, leg, limit)
@@ -29,8 +31,10 @@
         return self.events.load or self.reader.headers.get("srv-load")
 
     def _leave(self, pool: Pool, stream: Stream, end: End | None) -> None:
-        """Records the KV state that the leg may have left: that of a read which succeeded, or whose end was
-        not seen."""
+        """Records the KV state that the leg may have left.
+
+        That is the state of a read which succeeded, or whose end was not seen.
+        """
         if self.leg.server.role != "writer" and self.phase[0] >= Phase.SENT:
             if end is not None and end.outcome == "read":
                 self.ask.may_hold_state, self.ask.held_since = True, self.host.world.now()
--- a/stackpitch/platform/lines.py
+++ b/stackpitch/platform/lines.py
@@ -1,5 +1,7 @@
-"""JSON log lines and outcome counts without the logging and metrics libraries, to save memory on small
-machines."""
+"""JSON log lines and outcome counts without the logging and metrics libraries.
+
+Those would take more memory than a small machine has.
+"""
 
 import sys
 import traceback
@@ -16,7 +18,8 @@
     """Writes JSON lines to standard error; has the methods of the gateway's log. `debug` writes nothing.
 
     `log` only counts generations, by product and by how they ended, with the outcome of the last leg where
-    the generation failed. `log_outcomes` writes these counts."""
+    the generation failed. `log_outcomes` writes these counts.
+    """
 
     def __init__(self, gateway: str) -> None:
         self.gateway = gateway
@@ -35,6 +38,7 @@
     def debug(self, event: str, **fields: Any) -> None: ...
 
     def log(self, level: int, event: str, **fields: Any) -> None:
+        """Counts an ended generation; other events are ignored."""
         if event == "generation":
             end, legs = fields["end"], fields["legs"]
             if end != "streamed":
@@ -60,8 +64,10 @@
             )
 
     def reset_outcomes(self) -> None:
-        """Logs the outcomes so far and starts at zero: under new settings even a product of the same name is
-        another."""
+        """Logs the outcomes so far and starts at zero.
+
+        Under new settings a product is another one even if its name is the same.
+        """
         self.log_outcomes()
         self.outcomes, self.logged = {}, 0
 
--- a/stackpitch/platform/listener.py
+++ b/stackpitch/platform/listener.py
@@ -14,7 +14,10 @@
 
 
 class PlatformListener(Door):
-    """`products` and `customers` by name. `ready`: whether the readiness check answers 200."""
+    """Accepts the platform's clients.
+
+    `products` and `customers` by name. `ready`: whether the readiness check answers 200.
+    """
 
     told_why = 8  # each connection refused with an answer holds a reserved descriptor
 
@@ -38,8 +41,11 @@
         self.over_limit = self._excess() > 0
 
     def _takes_until(self) -> Time | None:
-        """Evaluated for each request: a request may be read in the same turn of the event loop as the stop
-        signal, before anything has reacted to the signal."""
+        """Until when requests are accepted after a stop signal; None without one.
+
+        Evaluated for each request, as a request may be read in the same turn of the event loop as the signal,
+        before anything has reacted to the signal.
+        """
         signalled = self.stop_signalled_at()
         return None if signalled is None else takes_until(signalled)
 
--- a/stackpitch/platform/plan.py
+++ b/stackpitch/platform/plan.py
@@ -1,7 +1,8 @@
 """Derives what a gateway works with from its configuration, before anything is changed.
 
 That is: shares of descriptors and memory, time limits, and the parts of the settings that listener, host and
-decision module take."""
+decision module take.
+"""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -26,8 +27,7 @@
     + MAX_CONNECTIONS
     + PlatformListener.told_why
 )
-# Clients' share of the other descriptors. At most a third of the connections of the platform's clients carry
-# a request at a time.
+# Clients' share of the other descriptors. The platform's clients need a third at most for requests.
 CLIENT_SHARE = 0.42
 MAX_BODY, MAX_HEAD = 256 << 10, 16 << 10  # bytes; the protocol's limit, and more than any of its heads needs
 CALL_DIVISOR = 16  # one in so many connections to servers, and at least one, is reserved for control calls
--- a/stackpitch/platform/releasing.py
+++ b/stackpitch/platform/releasing.py
@@ -3,7 +3,8 @@
 Which servers run is not known when a release is due, as many may have hung or been cut off together. So the
 steps of a release overlap: the next servers are asked soon after the last, whose answer may still come, and
 later steps ask more servers at once. A server that has answered any call in the meantime counts as running
-and is asked next."""
+and is asked next.
+"""
 
 from heapq import nlargest
 from zlib import crc32
@@ -23,8 +24,11 @@
 
 
 class Release:
-    """The release for one request. `bounds`: those that the request arrived under. `held_since`: the end of
-    its last read; None: that was not seen. `urgent`: whether the state's time limit is running."""
+    """The release of all that is held for one request.
+
+    `bounds`: those that the request arrived under. `held_since`: the end of its last read; None: that was not
+    seen. `urgent`: whether the state's time limit is running.
+    """
 
     def __init__(
         self,
@@ -49,8 +53,10 @@
         self.idle_at_start = not request.out()
 
     def run(self) -> Coro[None]:
-        """Ends when a server has released the state and all calls have ended, a stream has released it, or no
-        step is left."""
+        """Runs until the state is released or no step is left.
+
+        It is released once a server has done so, and all calls have ended, or once a stream has started.
+        """
         yield from self.host.world.group(lambda group: self._try(group, 0))
         done = self.done_by is not None or self.request.streamed()
         self.host.metrics.releases.labels("done" if done else "failed").inc()
@@ -58,8 +64,11 @@
             self.host.logger.warning("release_failed", generation=self.request.name, tries=self.tries)
 
     def _try(self, group: Group, number: int) -> Coro[None]:
-        """Runs one step. Calls the first server at once: the release must be sent before anything that the
-        request starts afterwards. The next step follows after a gap."""
+        """Runs one step.
+
+        Calls the first server at once: the release must be sent before anything that the request starts
+        afterwards. The next step follows after a gap.
+        """
         if number + 1 < self.bounds.release_tries:
             group.spawn(self._try_later(group, number + 1), f"release {self.request.name} again")
         servers = self._next(release_width(number, self.urgent))
@@ -83,7 +92,8 @@
 
         A late step waits while an attempt is in progress that started after the release: the state's time
         limit is suspended then, and the release would destroy the newer state. Once a stream has started
-        nothing is left."""
+        nothing is left.
+        """
         late = number >= QUICK_RELEASES
         with self.host.world.scope() as self.pause:
             yield from self.host.world.sleep(release_gap(number - 1, self.bounds.call))
@@ -93,8 +103,10 @@
             yield from self._try(group, number)
 
     def _record_done(self, server: Server) -> None:
-        """Adds the release to the request's trace, if the request is still known; logs it if the first call
-        failed."""
+        """Adds the release to the request's trace, if the request is still known.
+
+        Also logs a release for which the first server asked was not enough.
+        """
         host, now = self.host, self.host.world.now()
         held = self._record_held(server)
         if (ask := host.asks.get(self.request)) is not None:
@@ -112,8 +124,10 @@
             )
 
     def _record_held(self, server: Server) -> str:
-        """Observes for how long the state was held, if that is known, and logs a time over the limit. Returns
-        the text for the trace."""
+        """Observes for how long the state was held, if that is known, and logs a time over the limit.
+
+        Returns the text for the trace.
+        """
         host = self.host
         if self.held_since is None:
             return ""
@@ -132,9 +146,12 @@
         return text
 
     def _next(self, count: int) -> list[Server]:
-        """The servers to ask next: first those that no attempt waits for, by when their connections last
-        worked. Ties are broken so that concurrent releases ask different servers. No server is asked twice
-        until it has worked since, or all others were asked."""
+        """The servers to ask next.
+
+        Servers that no attempt waits for come first, then those whose connections worked last. Ties are
+        broken so that concurrent releases ask different servers. No server is asked twice until it has worked
+        since, or all others were asked.
+        """
         awaited = {leg.server for leg in self.request.legs if leg.outcome is None}
         running = [server for server in self.host.roster.addresses if server.state != "gone"]
         left = [
@@ -151,7 +168,9 @@
         return nlargest(count, left, key=rank)
 
     def _last_good(self, server: Server) -> Time:
-        """When a connection to the server was last returned to the pool in order; NO_IDLE_CONNECTION if none
-        is idle."""
+        """When a connection to the server last came back to the pool in order.
+
+        NO_IDLE_CONNECTION if none is idle.
+        """
         pool = self.host.pools.get(server)
         return pool.idle[-1][1] if pool is not None and pool.idle else NO_IDLE_CONNECTION
--- a/stackpitch/platform/reloading.py
+++ b/stackpitch/platform/reloading.py
@@ -4,7 +4,8 @@
 nothing. If the settings are the same, the decision module, what it has learnt and all connections stay. If
 they differ, requests that arrive later meet only the new classes, tenants and limits and a new module.
 Requests in progress stay with the module and the settings that they arrived under
-(`gateway.host.told.ArrivalSettings`)."""
+(`gateway.host.told.ArrivalSettings`).
+"""
 
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
@@ -30,7 +31,7 @@
 
 
 class Reloader:
-    """`plan`: the one in force."""
+    """Reloads the configuration. `plan`: the one in force."""
 
     def __init__(
         self,
@@ -87,8 +88,10 @@
         return msgspec.structs.replace(conf, **fixed)
 
     def _apply_settings(self, new: Plan) -> None:
-        """Applies classes, tenants, kinds and the module's arguments. The counts of the old classes are
-        logged first."""
+        """Applies classes, tenants, kinds and the module's arguments.
+
+        The counts of the old classes are logged first.
+        """
         self.log.reset_outcomes()
         self.log.log_counters(self.host.counters)
         self.door.products, self.door.customers = new.products, new.customers
--- a/stackpitch/platform/request.py
+++ b/stackpitch/platform/request.py
@@ -9,8 +9,11 @@
 
 
 class PlatformRequest(Ask):
-    """`headers`: the end-to-end fields that are forwarded to servers. Headers and body are dropped with the
-    final answer."""
+    """A request that has been accepted, with its client.
+
+    `headers`: the end-to-end fields that are forwarded to servers. Headers and body are dropped with the
+    final answer.
+    """
 
     def __init__(
         self,
@@ -37,6 +40,7 @@
         self.headers, self.body = (), b""  # nothing more is sent
 
     def begin(self, now: Time) -> None:
+        """Sends the head of the stream."""
         self.begun, self.first_token = True, now
         self._put(
             http.head(
@@ -45,16 +49,20 @@
         )
 
     def pass_on(self, pieces: Sequence[bytes]) -> bool:
+        """Sends part of the stream; False if the client has left."""
         return self._put(b"".join(http.chunk(piece) for piece in pieces if piece))
 
     def finish(self) -> None:
+        """Ends the stream after its last event."""
         if not self.answered:
             self._put(http.LAST_CHUNK)
             self._final("streamed")
 
     def refuse(self, status: int, code: str, message: str, again: bool, retry_after: Time = 0) -> None:
-        """429 promises that a retry is safe, so any refusal that can't promise this must be neither 429 nor
-        503."""
+        """Sends a final answer before any output.
+
+        429 promises that a retry is safe, so any refusal that can't promise this must be neither 429 nor 503.
+        """
         if self.answered:
             return
         headers = [("retry-after", f"{retry_after / 10_000:.3f}")] if again and retry_after else []
@@ -69,7 +77,8 @@
         """Ends the connection without the last chunk, as the protocol has no error event.
 
         Only the sending side is closed: a full close would drop data that the client has not read yet. The
-        listener closes the rest."""
+        listener closes the rest.
+        """
         if not self.answered:
             self.cut = True
             if self.client is not None:
--- a/stackpitch/platform/serve.py
+++ b/stackpitch/platform/serve.py
@@ -42,7 +42,8 @@
 
     SIGTERM: the readiness check fails, requests that arrive within 0.7 s are accepted, accepted ones are
     answered, and later ones on connections that are still open are refused. SIGHUP: the configuration is
-    reloaded (`reloading`). `ready` is called with what was built once the gateway serves."""
+    reloaded (`reloading`). `ready` is called with what was built once the gateway serves.
+    """
     caught = yield from _with_retries(world, lambda: world.signals(*STOP_SIGNALS, signal.SIGHUP))
     conf = config.read(environ)
     log: Any = JsonLog(conf.name)
@@ -167,16 +168,21 @@
 
 
 def _reloads(caught: Callable[[], Coro[int]], reloader: Reloader) -> Coro[None]:
-    """Reloads while the gateway stops: requests still arrive, and of signals that are pending together the
-    system delivers SIGTERM before a SIGHUP that was sent first."""
+    """Reloads while the gateway stops, as requests still arrive.
+
+    Of signals that are pending together the system delivers SIGTERM before a SIGHUP that was sent first.
+    """
     while True:
         if (yield from caught()) == signal.SIGHUP:
             yield from reloader.reload_patiently()
 
 
 def _log_counts(world: World, host: Host, client_listener: PlatformListener, log: JsonLog) -> None:
-    """Logs, each since the last time, the counters of each class, why connections ended, which acts were not
-    permitted, and which system calls failed."""
+    """Logs what was counted since the last time.
+
+    That is: the counters of each class, why connections ended, which acts were not permitted, and which
+    system calls failed.
+    """
     log.log_counters(host.counters)
     if closed := client_listener.take_closings():
         log.info("connections_ended", **closed)
@@ -198,9 +204,12 @@
 
 
 def _sweep(world: World, host: Host) -> Coro[None]:
-    """Collects garbage and closes idle connections each second. Tasks, generations and readers refer to each
-    other, and by its own schedule the collector would leave over a thousand finished ones in memory, with
-    their bodies, before it examines the objects that have lived for a second."""
+    """Collects garbage and closes idle connections each second.
+
+    Tasks, generations and readers refer to each other, and by its own schedule the collector would leave over
+    a thousand finished ones in memory, with their bodies, before it examines the objects that have lived for
+    a second.
+    """
     while True:
         yield from world.sleep(SECOND)
         gc.collect()
--- a/stackpitch/platform/server_client.py
+++ b/stackpitch/platform/server_client.py
@@ -1,5 +1,7 @@
-"""The gateway's side of the platform's server protocol: legs, reservations, and the release of held KV
-state."""
+"""The gateway's side of the platform's server protocol.
+
+It runs legs, requests reservations and releases held KV state.
+"""
 
 from stackpitch.gateway.ask import Ask
 from stackpitch.gateway.bounds import Bounds
@@ -15,18 +17,23 @@
 
 
 class PlatformServerClient:
-    """`gateway.host.Front` for the platform. Any running server releases all that any server holds for a
-    generation."""
+    """Implements `gateway.host.Front` for the platform.
+
+    Any running server releases all that any server holds for a generation.
+    """
 
     host: Host
 
     def leg(self, ask: Ask, leg: Leg, limit: Time) -> Coro[None]:
+        """Runs a leg within the time limit."""
         assert isinstance(ask, PlatformRequest)
         return PlatformLeg(self.host, ask, leg, limit).run()
 
     def hold(self, ask: Ask, leg: Leg, server: Server) -> Coro[bool]:
-        """Requests a reservation once the read's last byte is written, as the server may know of the read
-        only then."""
+        """Requests a reservation; returns whether the server granted it.
+
+        It is requested once the read's last byte is written, as the server may know of the read only then.
+        """
         assert isinstance(ask, PlatformRequest)
         while ask.sent_leg is not leg:
             if leg.outcome is not None:
@@ -48,18 +55,24 @@
         return False, None
 
     def report(self, text: str) -> Report | None:
+        """Parses a server's load report. Raises ValueError."""
         return platform.report(text, self.host.doubts)
 
     def started(self, ask: Ask, leg: Leg, fetched: bool) -> None:
+        """A stream has started: it has taken over or released all that was held."""
         assert isinstance(ask, PlatformRequest)
         ask.may_hold_state, ask.held_since = False, None
 
     def release_unused(self, ask: Ask) -> None:
-        """A server doesn't release state that an attempt which has reached it waits for, so some state may
-        still be held when that attempt ends."""
+        """Releases what no attempt in progress uses.
+
+        A server doesn't release state that an attempt which has reached it waits for, so some may still be
+        held when that attempt ends.
+        """
         self._release(ask)
 
     def release(self, ask: Ask) -> None:
+        """Releases all that is or may be held for the request."""
         assert isinstance(ask, PlatformRequest)
         self._release(ask)
         ask.may_hold_state = False
@@ -76,8 +89,11 @@
                 ask.read_outcome_unknown = False
 
     def _second_release(self, ask: PlatformRequest, bounds: Bounds) -> Coro[None]:
-        """Releases what a read may have left after the first release, unless a stream has started since,
-        which releases it. Waits while an attempt is in progress, whose KV state the release would destroy."""
+        """Releases what a read may have left after the first release.
+
+        A stream that has started since has released it already. Waits while an attempt is in progress, whose
+        KV state the release would destroy.
+        """
         pause = release_again(bounds.release)
         yield from self.host.world.sleep(pause)
         while ask.gen.out():
--- a/stackpitch/platform/watching.py
+++ b/stackpitch/platform/watching.py
@@ -1,9 +1,9 @@
-"""The timing of calls to discovery, all derived from the one bound within which a change has to be known.
-Pure.
+"""The timing of calls to discovery, derived from the one bound within which a change has to be known. Pure.
 
 A change has to be known `MAX_STALENESS` after discovery had it and could be reached. Within that time must
 fit a watch that goes silent as soon as it is sent, or a discovery that returns just after an attempt began,
-then `MAX_FAILED_ATTEMPTS` failed attempts and a slow answer."""
+then `MAX_FAILED_ATTEMPTS` failed attempts and a slow answer.
+"""
 
 from dataclasses import dataclass
 from zlib import crc32
@@ -27,7 +27,8 @@
     pause: Time
     gaps: tuple[Time, ...]  # between the starts of successive attempts; the last one repeats
     answer: Time  # for a successful attempt: connecting and the complete list
-    # Before the next call after an immediate answer without news. A watch normally stays open for 200 ms.
+    # Before the next call after an immediate answer without news. Less than 200 ms, for which a watch goes on
+    # between two calls.
     rest: Time
 
     def gap(self, attempt: int) -> Time:
@@ -43,8 +44,10 @@
         return self.pause + sum(self.gap(attempt) for attempt in range(MAX_FAILED_ATTEMPTS)) + self.answer
 
     def back(self) -> Time:
-        """Worst case from discovery's return after a long outage, just after a failed attempt began, to the
-        complete list."""
+        """Worst case from discovery's return after a long outage to the complete list.
+
+        An attempt has begun just before the return and fails.
+        """
         return (1 + MAX_FAILED_ATTEMPTS) * self.gaps[-1] + self.answer
 
     def margin(self) -> Time:
@@ -58,8 +61,10 @@
 
 
 def watch_times(spread: float) -> WatchTimes:
-    """`spread`: from 0 to 1, see `gateway_spread`. It makes the attempts of different gateways drift
-    apart."""
+    """`spread`: from 0 to 1, see `gateway_spread`.
+
+    It makes the attempts of different gateways drift apart.
+    """
     unit = MAX_STALENESS // 30
     gaps = tuple(int(count * unit * (MIN_GAP_FACTOR + (1 - MIN_GAP_FACTOR) * spread)) for count in (1, 2, 4))
     return WatchTimes(
--- a/tests/platform_expect.py
+++ b/tests/platform_expect.py
@@ -106,8 +106,11 @@
         assert self.called("HOLD", name) == [server], f"asked of {self.called('HOLD', name)}"
 
     def expect_released(self, name: str, *servers: str) -> Coro[None]:
-        """Released at one server, of these if any are named. `twice`: also before, while an attempt that may
-        have arrived was in progress; or again, for a read that may have ended after the first release."""
+        """Released at one server, of these if any are named.
+
+        `twice`: also before, while an attempt that may have arrived was in progress; or again, for a read
+        that may have ended after the first release.
+        """
         times = 1 + ("twice" in servers)
         allowed = [one for one in servers if one != "twice"]
         yield from self.until(800, lambda: len(self.called("DELETE", name)) >= times, "not released")
--- a/tests/platform_process.py
+++ b/tests/platform_process.py
@@ -176,8 +176,10 @@
 
 
 class Server:
-    """A model server. `got`: method, path and time of each complete request; legs are answered once `go` is
-    set."""
+    """A model server.
+
+    `got`: method, path and time of each complete request; legs are answered once `go` is set.
+    """
 
     def __init__(self, name: str, answer: bytes) -> None:
         self.answer, self.go = answer, threading.Event()
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,7 +1,8 @@
 """Slow start under steps of the wall clock, of this machine or of a server's.
 
-A wrong wall clock would make a new server look warm, or stay cold for hours. Its warmth must follow from when this
-process was first notified of it."""
+A wrong wall clock would make a new server look warm, or stay cold for hours. Its warmth must follow from when
+this process was first notified of it.
+"""
 
 import itertools
 
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -49,9 +49,11 @@
 def test_a_starved_process_takes_up_discovery_and_lets_go_while_idle_clients_fill_its_descriptors(
     tmp_path: Path, sockets: int
 ) -> None:
-    """The process runs a quarter of the time. The read's connection ends with its answer, so the release
-    needs a new one. It is due within 0.8 s of the read's end and may wait once until the process runs
-    again."""
+    """The process runs a quarter of the time.
+
+    The read's connection ends with its answer, so the release needs a new one. It is due within 0.8 s of the
+    read's end and may wait once until the process runs again.
+    """
     read = http.response(202, b'{"cached_tokens":4}', [("connection", "close")])
     agent, servers = Agent(), [Server("r1", read), Server("w1", read)]
     agent.members = [one.member for one in servers]
--- a/tests/test_platform_floods.py
+++ b/tests/test_platform_floods.py
@@ -46,8 +46,10 @@
 
 
 def test_clients_that_read_nothing_cost_neither_memory_nor_others_service(tmp_path: Path) -> None:
-    """150 of 204 possible clients, each with an answer of up to 4 MiB. An eighth of the memory may be used to
-    buffer for all clients."""
+    """150 of 204 possible clients, each with an answer of up to 4 MiB.
+
+    An eighth of the memory may be used to buffer for all clients.
+    """
     reader, writer = Server("r1", http.response(202, b'{"cached_tokens":4}')), Writer("w1", b"")
     reader.go.set()
     writer.go.set()
--- a/tests/test_releasing.py
+++ b/tests/test_releasing.py
@@ -1,7 +1,8 @@
 """Releases: order, overlap and retries.
 
 A release that is sent late would destroy the KV state of a read that the same request starts after it. One
-that asks silent servers one after another would exceed the time for which state may be held."""
+that asks silent servers one after another would exceed the time for which state may be held.
+"""
 
 from types import SimpleNamespace
 from typing import Any
@@ -31,8 +32,11 @@
 
 
 class Workers:
-    """What a release uses of its host. `silent`: servers that don't answer before `until`; `told`: names of
-    the servers that were asked, and when."""
+    """What a release uses of its host.
+
+    `silent`: servers that don't answer before `until`; `told`: names of the servers that were asked, and
+    when.
+    """
 
     def __init__(self, names: str, silent: str, until: int = 1 << 30) -> None:
         self.until, self.request = until, Request()
@@ -118,8 +122,11 @@
 
 @pytest.mark.parametrize("out_before", [False, True])
 def test_a_late_try_does_not_tear_the_state_of_a_newer_attempt(out_before: bool) -> None:
-    """All servers are silent for 0.6 s. An attempt that starts after the release delays its late steps until
-    it ends; one that was in progress before, and may never have arrived, does not."""
+    """All servers are silent for 0.6 s.
+
+    An attempt that starts after the release delays its late steps until it ends; one that was in progress
+    before, and may never have arrived, does not.
+    """
     workers = Workers("abc", "abc", until=600 * MS)
     workers.request.attempts_out = out_before
     release = workers.release()
