--- a/stackpitch/platform/discovery.py
+++ b/stackpitch/platform/discovery.py
@@ -133,7 +133,9 @@
         listed = [*self.entries.values(), *self.unknown.values()]
         self.entries = {entry.name: entry for entry in listed if self._kind_known(entry)}
         self.unknown = {entry.name: entry for entry in listed if entry.kind not in kinds}
-        self.host.apply_roster(self.host.roster.version, list(self.entries.values()), current=self.list_received)
+        self.host.apply_roster(
+            self.host.roster.version, list(self.entries.values()), current=self.list_received
+        )
 
     def run(self) -> Coro[None]:
         """Follows discovery until it is cancelled."""
--- a/stackpitch/platform/releasing.py
+++ b/stackpitch/platform/releasing.py
@@ -97,7 +97,9 @@
         late = number >= QUICK_RELEASES
         with self.host.world.scope() as self.pause:
             yield from self.host.world.sleep(release_gap(number - 1, self.bounds.call))
-            while late and self.idle_at_start and self.request.in_flight() and not self.request.stream_started():
+            while (
+                late and self.idle_at_start and self.request.in_flight() and not self.request.stream_started()
+            ):
                 yield from self.host.world.sleep(self.bounds.call)
         if self.done_by is None and not (late and self.request.stream_started()):
             yield from self._try(group, number)
