--- a/stackpitch/cli/expect.py
+++ b/stackpitch/cli/expect.py
@@ -15,11 +15,11 @@
 from rich.table import Table
 
 from stackpitch import settings as settings_package
-from stackpitch.expect import mutate, report, watchlist
+from stackpitch.expect import mutate, report, uncovered
 from stackpitch.expect.book import Book
-from stackpitch.expect.deployment import Deployment, deployment
+from stackpitch.expect.deployment import Deployment, build_deployment
+from stackpitch.expect.formatter import format_page
 from stackpitch.expect.judge import Judge, Touched, Verdict
-from stackpitch.expect.layout import layout
 from stackpitch.expect.parse import BadStatement, read_page
 from stackpitch.loop import MS, Coro, RealWorld
 from stackpitch.membership.bundle import validate_fleet
@@ -38,7 +38,7 @@
     fleet: Fleet
 
     def deployment(self) -> Deployment:
-        return deployment(self.settings, self.fleet)
+        return build_deployment(self.settings, self.fleet)
 
 
 def configuration(config: Path, sets: dict[str, str], fleet: Path | None) -> Given:
@@ -119,7 +119,7 @@
     table = Table(title="What no statement touches", title_justify="left")
     table.add_column("")
     table.add_column("")
-    for subject, left in watchlist.untouched(book, judge.of, judge).items():
+    for subject, left in uncovered.uncovered_subjects(book, judge.of, judge).items():
         more = f" and {len(left) - 12} more" if len(left) > 12 else ""
         table.add_row(subject, escape(", ".join(left[:12])) + more if left else "[green]none[/]")
     console.print(table)
@@ -131,7 +131,7 @@
 
 def mutations(console: Console, book: Book, given: Given, most: int, as_json: bool, jobs: int) -> float:
     """Shows the changes that no statement notices; gives the share that is noticed."""
-    before = mutate.words(book, given.settings, given.fleet)
+    before = mutate.verdict_words(book, given.settings, given.fleet)
     changes = list(mutate.mutations(given.settings, given.fleet, most))
     with ProcessPoolExecutor(jobs) as pool:
         found = list(pool.map(partial(_noticed, book, before, list(before)), changes, chunksize=4))
@@ -202,7 +202,7 @@
     for one in files:
         for path in sorted(one.rglob("*.expect")) if one.is_dir() else [one]:
             page = read_page(path)
-            text = layout(page)
+            text = format_page(page)
             if text != path.read_text(encoding="utf-8"):
                 if not check:
                     path.write_text(text, encoding="utf-8")
@@ -249,7 +249,7 @@
                 f"{len(changed)} of {len(verdicts)} statements differ from {against}", highlight=False
             )
     if cover:
-        tree["untouched"] = watchlist.untouched(book, judge.of, judge)
+        tree["untouched"] = uncovered.uncovered_subjects(book, judge.of, judge)
     if as_json:
         click.echo(json.dumps(tree, indent=2))
     else:
--- a/stackpitch/cli/fleet.py
+++ b/stackpitch/cli/fleet.py
@@ -13,7 +13,7 @@
 from stackpitch import settings as settings_package
 from stackpitch.expect import syntax as s
 from stackpitch.expect.book import Book, Plan
-from stackpitch.expect.deployment import deployment
+from stackpitch.expect.deployment import build_deployment
 from stackpitch.expect.judge import Judge, Play, Variant
 from stackpitch.loop import SECOND, ConnectFailed, ConnectionLost, Coro, RealWorld
 from stackpitch.membership.bundle import build_entries, validate_fleet
@@ -70,7 +70,7 @@
 
 def shares(settings: Settings, fleet: Fleet) -> Shares:
     """Parts of first turns by rack and server that reads, and that writes, by the module in the dry world."""
-    of = deployment(settings, fleet)
+    of = build_deployment(settings, fleet)
     asking = s.Asking(PLAYED, "first", (), rate=40.0)
     statement = s.Statement("shares", False, (), asking, ())
     judge = Judge(Book([]), of)
@@ -81,7 +81,7 @@
         for story in play.stories:
             part = 1 / PLAYED / len(of.products)
             read = next((leg.server for leg in story.gen.legs if leg.outcome == "read"), None)
-            for word, server in (("read", read), ("written", story.served)):
+            for word, server in (("read", read), ("written", story.served_by)):
                 if server is not None:
                     for by, name in (("rack", str(server.cell)), ("server", server.name)):
                         table = found[f"{word} by {by}"]
--- a/stackpitch/expect/book.py
+++ b/stackpitch/expect/book.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, replace
 
 from stackpitch.expect import syntax as s
-from stackpitch.expect.deployment import Deployment, Sets, shown
+from stackpitch.expect.deployment import Deployment, ServerSets, list_names
 from stackpitch.expect.parse import BadStatement
 
 
@@ -17,7 +17,7 @@
     circumstances: tuple[s.Circumstance, ...]  # none of them `Given`
 
     @property
-    def at(self) -> str:
+    def location(self) -> str:
         return f"{self.file}:{self.statement.line}"
 
 
@@ -59,27 +59,29 @@
                 yield one
                 continue
             if one.name not in self.situations:
-                raise BadStatement(f'{at}: no situation "{one.name}"; there are: {shown(self.situations)}')
+                raise BadStatement(
+                    f'{at}: no situation "{one.name}"; there are: {list_names(self.situations)}'
+                )
             if one.name in inside or len(inside) > 20:
                 raise BadStatement(f'{at}: situation "{one.name}" leads back to itself')
             yield from self._flat(self.situations[one.name].circumstances, at, (*inside, one.name))
 
-    def check(self, plan: Plan, of: Deployment, sets: Sets) -> None:
+    def check(self, plan: Plan, of: Deployment, sets: ServerSets) -> None:
         """Raises BadStatement if the statement can't apply to the configuration at all."""
-        at, statement = plan.at, plan.statement
+        at, statement = plan.location, plan.statement
         asked = [one.asking for one in plan.circumstances if isinstance(one, s.History)]
         asked += [statement.asking] if statement.asking is not None else []
         for asking in asked:
             for product in asking.products:
                 if product not in of.products:
                     raise BadStatement(
-                        f'{at}: no product "{product}" in this configuration; there are: {shown(of.products)}'
+                        f'{at}: no product "{product}" in this configuration; there are: {list_names(of.products)}'
                     )
             for customer in asking.customers or ():
                 if customer not in of.customers:
                     raise BadStatement(
                         f'{at}: no customer "{customer}" in this configuration; there are: '
-                        f"{shown(of.customers)}"
+                        f"{list_names(of.customers)}"
                     )
             if asking.customers == () and not of.customers:
                 raise BadStatement(f"{at}: every customer: this configuration has none")
@@ -120,7 +122,7 @@
             ):
                 raise BadStatement(f'{at}: "{claim.text()}": a share is of many; say 20 turns at least')
 
-    def contradictions(self, sets: Sets) -> list[tuple[str, str, str]]:
+    def contradictions(self, sets: ServerSets) -> list[tuple[str, str, str]]:
         """Pairs of statements that can't both hold: names, and the claims that clash."""
         groups: dict[object, list[s.Statement]] = {}
         for name in self.statements:
@@ -138,7 +140,7 @@
         return found
 
     @staticmethod
-    def _clash(one: s.Statement, other: s.Statement, sets: Sets) -> str | None:
+    def _clash(one: s.Statement, other: s.Statement, sets: ServerSets) -> str | None:
         if one.asking is not None and other.asking is not None:
             ours, theirs = set(one.asking.products), set(other.asking.products)
             if ours and theirs and not ours & theirs:
@@ -152,7 +154,7 @@
         return None
 
 
-def clash(one: s.Claim, other: s.Claim, sets: Sets) -> bool:
+def clash(one: s.Claim, other: s.Claim, sets: ServerSets) -> bool:
     """Whether no generation can do both, as far as that shows without playing it. Ask both ways round."""
     if isinstance(one, s.Ended) and isinstance(other, s.Ended):
         return one.wanted and (
--- a/stackpitch/expect/deployment.py
+++ b/stackpitch/expect/deployment.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """`tree` is the settings as values, for statements on settings themselves."""
+    """`settings_tree` is the settings as values, for statements on settings themselves."""
 
     products: dict[str, Product]
     customers: dict[str, Customer]
@@ -29,7 +29,7 @@
     seed: int
     rules: tuple[Rule, ...]
     utc_offset: int  # minutes
-    tree: Mapping[str, Any]
+    settings_tree: Mapping[str, Any]
 
     def preferences(self, epoch: Time) -> Preferences:
         """New for each module: it remembers what lists showed."""
@@ -49,7 +49,7 @@
         }
 
 
-def deployment(settings: Settings, fleet: Fleet) -> Deployment:
+def build_deployment(settings: Settings, fleet: Fleet) -> Deployment:
     """`fleet` has been checked. Starts that it states are left out: in a dry world all began long ago."""
     known = kinds(settings)
     return Deployment(
@@ -67,7 +67,7 @@
     )
 
 
-class Sets:
+class ServerSets:
     """Which servers a text means in one configuration. Raises BadStatement where it means none."""
 
     def __init__(self, of: Deployment, definitions: Mapping[str, Definition]) -> None:
@@ -98,7 +98,9 @@
             if term.name in inside or len(inside) > 50:
                 raise BadStatement(f'{at}: definition "{term.name}" leads back to itself')
             if term.name not in self.definitions:
-                raise BadStatement(f'{at}: no definition "{term.name}"; there are: {shown(self.definitions)}')
+                raise BadStatement(
+                    f'{at}: no definition "{term.name}"; there are: {list_names(self.definitions)}'
+                )
             inner = self._where(self.definitions[term.name].where, at, (*inside, term.name))
             able = [one for one in self.of.fleet if one.name in inner]
         else:
@@ -108,22 +110,22 @@
             if one.value not in there:
                 word = "rack" if one.field == "cell" else one.field
                 raise BadStatement(
-                    f'{at}: no {word} "{one.value}" in this configuration; there are: {shown(there)}'
+                    f'{at}: no {word} "{one.value}" in this configuration; there are: {list_names(there)}'
                 )
             able = [server for server in able if str(getattr(server, one.field)) == one.value]
         return frozenset(server.name for server in able)
 
     def _near(self, name: str) -> str:
         alike = sorted(one for one in self.names if one[:1] == name[:1])
-        return f"there are: {shown(alike or self.names)}"
+        return f"there are: {list_names(alike or self.names)}"
 
 
-def shown(names: Any) -> str:
+def list_names(names: Any) -> str:
     listed = sorted(names)
     return (", ".join(listed[:8]) + (f" and {len(listed) - 8} more" if len(listed) > 8 else "")) or "none"
 
 
-def part(names: frozenset[str], amount: Amount, mark: str) -> list[str]:
+def choose_servers(names: frozenset[str], amount: Amount, mark: str) -> list[str]:
     """So many of a set, drawn by hash, so that each play of a statement may draw others."""
     ranked = sorted(names, key=lambda name: (crc32(f"{mark} {name}".encode()), name))
     count = {
--- a/stackpitch/expect/dry.py
+++ b/stackpitch/expect/dry_run.py
@@ -1,6 +1,6 @@
 """A made-up world around the real decision module: no socket, no clock, no process.
 
-`Dry` is the module's gateway. Servers answer by a few plain rules (below) unless a circumstance says otherwise; time
+`DryRun` is the module's gateway. Servers answer by a few plain rules (below) unless a circumstance says otherwise; time
 goes from one thing that happens to the next. How fast servers are here is made up: statements are about where work
 goes and what becomes of it, not about how long it takes. Everything a gateway sees of the outside is seen here too:
 lists, outcomes of legs, load reports, clients that leave.
@@ -55,25 +55,25 @@
 
 
 @dataclass(slots=True, eq=False)
-class Story:
+class Trace:
     """One generation and all that became of it."""
 
     gen: Generation
     answer_tok: int
-    earlier: "Story | None" = None  # the turn before
-    main: bool = False
-    script: deque[tuple[str, str]] = field(default_factory=deque)  # part and what happens there
-    leaves: str = ""
+    previous_turn: "Trace | None" = None  # the turn before
+    under_test: bool = False
+    scripted_events: deque[tuple[str, str]] = field(default_factory=deque)  # part and what happens there
+    client_leaves: str = ""
     end: str = ""  # streamed, throttled, terminated, broken, departed
-    answered: Time | None = None  # first token or final answer
-    finals: int = 0
-    served: Server | None = None
-    last_back: Time = 0  # when its last leg came back
-    held_since: Time | None = None  # a state waits and no leg is out
-    holds: list[Server] = field(default_factory=list)
-    longest_held: Time = 0
-    held_at_all: bool = False
-    holder_cells: frozenset[int] = frozenset()  # racks that held its opening when it came
+    answered_at: Time | None = None  # first token or final answer
+    final_answers: int = 0
+    served_by: Server | None = None
+    last_leg_ended: Time = 0  # when its last leg came back
+    idle_hold_since: Time | None = None  # a state waits and no leg is out
+    reservations: list[Server] = field(default_factory=list)
+    longest_idle_hold: Time = 0
+    ever_held: bool = False
+    prefix_cells: frozenset[int] = frozenset()  # racks that held its opening when it came
     steps: list["Step"] = field(default_factory=list)
 
 
@@ -81,13 +81,13 @@
 class Step:
     """One thing that happened to a generation, and what the module's figures were just before."""
 
-    at: Time
+    time: Time
     text: str
-    board: list[dict[str, Any]] = field(default_factory=list)
-    queue: float = 0.0  # the module's estimate of a wait, ms
+    servers: list[dict[str, Any]] = field(default_factory=list)
+    queue_wait_ms: float = 0.0  # the module's estimate of a wait, ms
 
 
-class Dry:
+class DryRun:
     """One world, for one play. `explain` keeps the figures behind each decision."""
 
     def __init__(
@@ -106,7 +106,7 @@
         self.count = 0
         self.servers = of.servers()
         self.conditions = {one: Condition() for one in self.servers.values()}
-        self.stories: dict[Generation, Story] = {}  # all of one play
+        self.stories: dict[Generation, Trace] = {}  # all of one play
         self.texts: dict[str, set[int]] = {}  # opening to racks where it was read
         self.kept: dict[str, tuple[Server, Time | None, int]] = {}  # session to server, its start, tokens
         self.load: dict[Server, int] = {}
@@ -115,8 +115,8 @@
             "writer": deque(),
             "mixed": deque(),
         }
-        self.breaches: list[tuple[str, str]] = []
-        self.modes: list[tuple[Time, str]] = []
+        self.violations: list[tuple[str, str]] = []
+        self.log_lines: list[tuple[Time, str]] = []
         self.brain = self._made()
         self._wake()
 
@@ -130,18 +130,18 @@
 
     # Time.
 
-    def at(self, when: Time, call: Callable[[], None]) -> None:
+    def schedule(self, when: Time, call: Callable[[], None]) -> None:
         self.count += 1
         heapq.heappush(self.events, (max(when, self.now), self.count, call))
 
-    def until(self, when: Time) -> None:
+    def run_until(self, when: Time) -> None:
         """Lets happen what is due up to then."""
         while self.events and self.events[0][0] <= when:
             self.now, _, call = heapq.heappop(self.events)
             call()
         self.now = max(self.now, when)
 
-    def settle(self, horizon: Time = 300 * SECOND) -> None:
+    def run_to_end(self, horizon: Time = 300 * SECOND) -> None:
         """Lets all that is under way come to its end."""
         last = self.now + horizon
         while self.events and self.events[0][0] <= last:
@@ -161,7 +161,7 @@
         self.brain = self._made()
         self._wake()
 
-    def state(self, names: Iterable[str], state: str, number: float = 0) -> None:
+    def set_state(self, names: Iterable[str], state: str, number: float = 0) -> None:
         """Brings servers into a state that a statement names."""
         listed = False
         for name in names:
@@ -212,7 +212,7 @@
 
     # Generations.
 
-    def ask(
+    def submit(
         self,
         product: Product,
         customer: Customer | None,
@@ -222,11 +222,11 @@
         prompt_tok: int,
         answer_tok: int,
         again: bool,
-        earlier: Story | None = None,
+        earlier: Trace | None = None,
         main: bool = False,
         script: Iterable[tuple[str, str]] = (),
         leaves: str = "",
-    ) -> Story:
+    ) -> Trace:
         self.count += 1
         gen = Generation(
             f"{self.mark}.{self.count}",
@@ -243,20 +243,20 @@
             again,
             False,
         )
-        story = self.stories[gen] = Story(gen, answer_tok, earlier, main, deque(script), leaves)
-        story.last_back = self.now
-        story.holder_cells = frozenset(self.texts.get(opening or "", ()))
+        story = self.stories[gen] = Trace(gen, answer_tok, earlier, main, deque(script), leaves)
+        story.last_leg_ended = self.now
+        story.prefix_cells = frozenset(self.texts.get(opening or "", ()))
         self._step(story, "arrives", board=True)
         if leaves:
             delay = {"leaves at once": 1 * MS, "leaves": 10 * MS, "leaves mid-stream": 0}[leaves]
             if delay:
-                self.at(self.now + delay, lambda: self._departs(story))
+                self.schedule(self.now + delay, lambda: self._departs(story))
         brain = self.brain
         brain.arrived(self.now, gen)
         self._look(story)
         return story
 
-    def _departs(self, story: Story) -> None:
+    def _departs(self, story: Trace) -> None:
         gen = story.gen
         if gen.over:
             return
@@ -282,25 +282,25 @@
         happens = next(
             (
                 one
-                for one in story.script
+                for one in story.scripted_events
                 if (one[0] == "first leg" and not leg.number)
                 or one[0] == ("reader" if server.role == "reader" else "writer")
             ),
             None,
         )
         if happens is not None:
-            story.script.remove(happens)
+            story.scripted_events.remove(happens)
             what = happens[1]
             if what == "breaks mid-stream":
                 after = self._first(story, leg)
-                self.at(self.now + after, lambda: self._started(brain, story, leg, breaks=True))
+                self.schedule(self.now + after, lambda: self._started(brain, story, leg, breaks=True))
                 return leg
             if what == "times out":
                 outcome, after = "time-out", limit
             else:
                 outcome, after = ENDS[what]
             no_state = what == "loses the state"
-            self.at(
+            self.schedule(
                 self.now + min(after, limit),
                 lambda: self._ended(brain, story, leg, outcome, no_state=no_state),  # type: ignore[arg-type]
             )
@@ -319,30 +319,30 @@
         if after >= limit:
             outcome, after = "time-out", limit
         if outcome == "streams":
-            self.at(self.now + after, lambda: self._started(brain, story, leg))
+            self.schedule(self.now + after, lambda: self._started(brain, story, leg))
         else:
-            self.at(self.now + after, lambda: self._ended(brain, story, leg, outcome))  # type: ignore[arg-type]
+            self.schedule(self.now + after, lambda: self._ended(brain, story, leg, outcome))  # type: ignore[arg-type]
         return leg
 
-    def _first(self, story: Story, leg: Leg) -> Time:
+    def _first(self, story: Trace, leg: Leg) -> Time:
         read = any(one.outcome == "read" for one in story.gen.legs)
         new = 0 if read else story.gen.prompt_tok - self._keeps(story, leg.server)
         return int((FIRST_TOKEN + new * MS // READ_PER_MS) * self.conditions[leg.server].slow)
 
-    def _keeps(self, story: Story, server: Server) -> int:
+    def _keeps(self, story: Trace, server: Server) -> int:
         kept = self.kept.get(story.gen.session or "")
         return kept[2] if kept is not None and kept[:2] == (server, server.started) else 0
 
     def hold(self, gen: Generation, server: Server) -> None:
         story = self.stories[gen]
-        story.holds.append(server)
+        story.reservations.append(server)
         self._step(story, f"a place is held at {server.name}")
-        self.at(self.now + 2 * MS, lambda: self.brain.hold_answered(self.now, gen, server, True))
+        self.schedule(self.now + 2 * MS, lambda: self.brain.hold_answered(self.now, gen, server, True))
 
     def release(self, gen: Generation, why: ReleaseReason) -> None:
         story = self.stories.get(gen)
         if story is not None:  # not that of a leg from before
-            story.holds.clear()
+            story.reservations.clear()
             self._step(story, "what it holds is let go")
 
     def throttle(self, gen: Generation, retry_after: Time) -> None:
@@ -363,11 +363,11 @@
     def cancel(self, leg: Leg) -> None:
         brain, story = self.brain, self.stories[leg.gen]
         if leg.outcome is None and not leg.streaming:
-            self.at(self.now, lambda: self._ended(brain, story, leg, "cancelled"))
+            self.schedule(self.now, lambda: self._ended(brain, story, leg, "cancelled"))
 
     def probe(self, server: Server) -> None:
         well = self.conditions[server].state == "well"
-        self.at(
+        self.schedule(
             self.now + 5 * MS, lambda: self.brain.probe_answered(self.now, server, well, self._report(server))
         )
 
@@ -375,20 +375,20 @@
         self._final(self.stories[gen], "broken")
 
     def call_later(self, delay: Time, call: Callable[[Time], None]) -> None:
-        self.at(self.now + delay, lambda: call(self.now))
+        self.schedule(self.now + delay, lambda: call(self.now))
 
     def send_to_peer(self, peer: int, octets: bytes) -> None:
         """No other gateway is here: words are lost."""
 
     def subscribe(self) -> None:
-        self.at(self.now, self.list_servers)
+        self.schedule(self.now, self.list_servers)
 
     def log(self, text: str) -> None:
-        self.modes.append((self.now, text))
+        self.log_lines.append((self.now, text))
 
     # What comes back.
 
-    def _started(self, brain: Brain, story: Story, leg: Leg, breaks: bool = False) -> None:
+    def _started(self, brain: Brain, story: Trace, leg: Leg, breaks: bool = False) -> None:
         gen = story.gen
         if brain is not self.brain or leg.outcome is not None:
             return
@@ -396,30 +396,30 @@
             self._ended(brain, story, leg, "cancelled")
             return
         leg.streaming = True
-        story.answered, story.served = self.now, leg.server
-        story.holds.clear()
-        story.holds = []
+        story.answered_at, story.served_by = self.now, leg.server
+        story.reservations.clear()
+        story.reservations = []
         self._step(story, f"{leg.server.name} writes the first token")
         brain.stream_started(self.now, leg)
         long = int(story.answer_tok * TOKEN * self.conditions[leg.server].slow)
-        if story.leaves == "leaves mid-stream":
-            self.at(self.now + long // 2, lambda: self._departs(story))
+        if story.client_leaves == "leaves mid-stream":
+            self.schedule(self.now + long // 2, lambda: self._departs(story))
         if breaks:
-            self.at(self.now + long // 2, lambda: self._ended(brain, story, leg, "reset"))
+            self.schedule(self.now + long // 2, lambda: self._ended(brain, story, leg, "reset"))
         else:
-            self.at(self.now + long, lambda: self._ended(brain, story, leg, "streamed"))
+            self.schedule(self.now + long, lambda: self._ended(brain, story, leg, "streamed"))
         self._look(story)
 
-    def _ended(self, brain: Brain, story: Story, leg: Leg, outcome: Outcome, no_state: bool = False) -> None:
+    def _ended(self, brain: Brain, story: Trace, leg: Leg, outcome: Outcome, no_state: bool = False) -> None:
         gen = story.gen
         if brain is not self.brain or leg.outcome is not None:
             return
         kept = 0
-        leg.outcome, story.last_back = outcome, self.now
+        leg.outcome, story.last_leg_ended = outcome, self.now
         self.load[leg.server] = self.load.get(leg.server, 0) - gen.prompt_tok
         if outcome == "read":
-            story.held_at_all = True
-            story.holds.append(leg.server)
+            story.ever_held = True
+            story.reservations.append(leg.server)
             if gen.shared is not None:
                 self.texts.setdefault(gen.shared, set()).add(leg.server.cell)
         elif outcome == "streamed":
@@ -431,7 +431,7 @@
             )
         if leg.streaming and not gen.over:
             gen.over = True
-            story.finals += 1
+            story.final_answers += 1
             story.end = "streamed" if outcome == "streamed" else "terminated"
         self._step(
             story,
@@ -449,21 +449,21 @@
             )
         return Report(told, None, None)
 
-    def _final(self, story: Story, how: str) -> None:
+    def _final(self, story: Trace, how: str) -> None:
         gen = story.gen
         gen.over = True
         if story.end:
             self._breach("answered", f"{gen.product.name} is {how} after it was {story.end}")
-        story.end, story.finals = how, story.finals + 1
-        if story.answered is None:
-            story.answered = self.now
+        story.end, story.final_answers = how, story.final_answers + 1
+        if story.answered_at is None:
+            story.answered_at = self.now
         self._step(story, f"is {how}")
 
     # The five rules, watched in every play.
 
     def _breach(self, rule: str, text: str) -> None:
-        if len(self.breaches) < 100:
-            self.breaches.append((rule, text))
+        if len(self.violations) < 100:
+            self.violations.append((rule, text))
 
     @staticmethod
     def _may_have_run(gen: Generation) -> list[Leg]:
@@ -473,7 +473,7 @@
             if leg.outcome not in NEVER_RAN and (leg.server.role != "reader" or leg.outcome is None)
         ]
 
-    def _check_send(self, story: Story, server: Server) -> None:
+    def _check_send(self, story: Trace, server: Server) -> None:
         gen, product = story.gen, story.gen.product
         if server.state != "ready":
             self._breach("drains", f"{product.name} is sent to {server.name}, which is {server.state}")
@@ -527,43 +527,45 @@
                 f"{allowed:.0f} allowed",
             )
 
-    def _look(self, story: Story) -> None:
+    def _look(self, story: Trace) -> None:
         """What is held with no leg out is watched from one moment to the next."""
-        waits = bool(story.holds) and not story.gen.in_flight()
-        if waits and story.held_since is None:
-            story.held_since = self.now
-        elif not waits and story.held_since is not None:
-            story.longest_held = max(story.longest_held, self.now - story.held_since)
-            story.held_since = None
-
-    def close(self, release: Time) -> None:
-        """After `settle`: what never came to an end."""
+        waits = bool(story.reservations) and not story.gen.in_flight()
+        if waits and story.idle_hold_since is None:
+            story.idle_hold_since = self.now
+        elif not waits and story.idle_hold_since is not None:
+            story.longest_idle_hold = max(story.longest_idle_hold, self.now - story.idle_hold_since)
+            story.idle_hold_since = None
+
+    def finish(self, release: Time) -> None:
+        """After `run_to_end`: what never came to an end."""
         for story in self.stories.values():
             gen = story.gen
             self._look(story)
-            if story.held_since is not None:
-                story.longest_held = max(story.longest_held, self.now - story.held_since + release + 1)
-            if story.longest_held > release:
+            if story.idle_hold_since is not None:
+                story.longest_idle_hold = max(
+                    story.longest_idle_hold, self.now - story.idle_hold_since + release + 1
+                )
+            if story.longest_idle_hold > release:
                 self._breach(
                     "pinned",
-                    f"what {gen.product.name} holds waits {story.longest_held / 10:.0f} ms with no leg out",
+                    f"what {gen.product.name} holds waits {story.longest_idle_hold / 10:.0f} ms with no leg out",
                 )
             if story.end == "departed":
                 continue
-            if story.finals != 1:
-                self._breach("answered", f"{gen.product.name} has {story.finals} final answers")
-            elif (story.answered or 0) > gen.deadline:
+            if story.final_answers != 1:
+                self._breach("answered", f"{gen.product.name} has {story.final_answers} final answers")
+            elif (story.answered_at or 0) > gen.deadline:
                 self._breach("answered", f"{gen.product.name} is answered after its time limit")
 
     # Explanations.
 
-    def _step(self, story: Story, text: str, board: bool = False) -> None:
-        if self.explain and story.main:
+    def _step(self, story: Trace, text: str, board: bool = False) -> None:
+        if self.explain and story.under_test:
             story.steps.append(
                 Step(self.now, text, self.board(story) if board else [], self.queue() if board else 0.0)
             )
 
-    def board(self, story: Story) -> list[dict[str, Any]]:
+    def board(self, story: Trace) -> list[dict[str, Any]]:
         """What the module knows of its servers now, by its own figures; nothing is changed by looking."""
         fleet, found = self.brain.fleet, []
         for seat in fleet.server_states.values():
--- a/stackpitch/expect/layout.py
+++ b/stackpitch/expect/formatter.py
@@ -16,7 +16,7 @@
             yield from one.lines()
 
 
-def layout(page: Page) -> str:
+def format_page(page: Page) -> str:
     """The page's text. Of its own output it changes nothing."""
     out: list[str] = []
     waiting = list(page.comments)
--- a/stackpitch/expect/judge.py
+++ b/stackpitch/expect/judge.py
@@ -12,8 +12,8 @@
 from stackpitch.brain import Brain
 from stackpitch.expect import syntax as s
 from stackpitch.expect.book import Book, Plan
-from stackpitch.expect.deployment import Deployment, Sets, part
-from stackpitch.expect.dry import MS, SECOND, Dry, Story
+from stackpitch.expect.deployment import Deployment, ServerSets, choose_servers
+from stackpitch.expect.dry_run import MS, SECOND, DryRun, Trace
 from stackpitch.expect.parse import BadStatement
 from stackpitch.interface import Server, Time
 from stackpitch.preferences import RuledBrain
@@ -98,7 +98,7 @@
         self, book: Book, of: Deployment, draws: int = 3, make: Callable[..., Brain] = RuledBrain
     ) -> None:
         self.book, self.of, self.draws, self.make = book, of, draws, make
-        self.sets = Sets(of, book.definitions)
+        self.sets = ServerSets(of, book.definitions)
         self.touched = Touched()
 
     def all(self, names: list[str] | None = None) -> Iterator[Verdict]:
@@ -129,7 +129,7 @@
         verdict = Verdict(plan.statement, plan.file)
         if plan.statement.asking is None:
             for then in plan.statement.thens:
-                finding = self._fact(then, plan.at)
+                finding = self._fact(then, plan.location)
                 if not finding.held:
                     verdict.failed.append((None, finding))
             verdict.passed = not verdict.failed
@@ -170,7 +170,7 @@
             ]
             return Finding(then, not wrong, ", ".join(said[:5]))
         assert isinstance(claim, s.Fact)
-        value: Any = self.of.tree
+        value: Any = self.of.settings_tree
         for step in claim.path.split("."):
             if not isinstance(value, dict) or step not in value:
                 raise BadStatement(f'{at}: no setting "{claim.path}"; found none of the name "{step}"')
@@ -187,8 +187,8 @@
         self.judge, self.plan, self.variant, self.asking = judge, plan, variant, asking
         self.mark = f"{plan.statement.name} {variant.product} {variant.customer} {variant.draw}"
         clock = next((one for one in plan.circumstances if isinstance(one, s.Clock)), s.Clock(12 * 60))
-        self.dry = Dry(judge.of, self.mark, explain, clock.day, clock.minute, judge.make)
-        self.stories: list[Story] = []
+        self.dry = DryRun(judge.of, self.mark, explain, clock.day, clock.minute, judge.make)
+        self.stories: list[Trace] = []
         self.script = [(one.part, one.what) for one in plan.circumstances if isinstance(one, s.Happens)]
         self.leaves = next((one.when for one in plan.circumstances if isinstance(one, s.Leaves)), "")
         self.deploy: tuple[Time, Time] | None = None  # since when and until when one runs
@@ -206,19 +206,19 @@
         if self.deploy is not None and not self.asking.rate:
             begin, end = self.deploy
             gap = (end - begin) // (count + 1)
-            self.dry.until(begin + gap)
+            self.dry.run_until(begin + gap)
         for number in range(count):
             self.stories.append(self._turn(number, before[number], TURNS[self.asking.turn], main=True))
             if number + 1 < count:
-                self.dry.until(self.dry.now + gap)
+                self.dry.run_until(self.dry.now + gap)
                 if only_shares and number % LOOKS == LOOKS - 1 and self._decided(shares):
                     break
         self.live = False
-        self.dry.settle()
-        self.dry.close(RELEASE)
+        self.dry.run_to_end()
+        self.dry.finish(RELEASE)
         self._note()
         left = min(
-            (story.script for story in self.stories), key=len
+            (story.scripted_events for story in self.stories), key=len
         )  # it is enough that it came about for one of them
         if left:
             raise Vacuous(f"its {left[0][0]} never came to where it {left[0][1]}")
@@ -236,12 +236,12 @@
 
     # What comes before.
 
-    def _turns(self, number: int) -> Story | None:
+    def _turns(self, number: int) -> Trace | None:
         """The earlier turns of a session, with all servers as the fleet's file has them."""
         story = None
         for turn in range(TURNS[self.asking.turn]):
             story = self._turn(number, story, turn)
-            self.dry.settle(60 * SECOND)
+            self.dry.run_to_end(60 * SECOND)
             if story.end != "streamed":
                 raise Vacuous(f"its earlier turn was {story.end}, not streamed")
         return story
@@ -249,17 +249,17 @@
     def _turn(
         self,
         number: int,
-        earlier: Story | None,
+        earlier: Trace | None,
         turn: int,
         main: bool = False,
         asking: s.Asking | None = None,
         product: str | None = None,
         session: str = "",
-    ) -> Story:
+    ) -> Trace:
         asking = asking or self.asking
         prompt = asking.prompt_tok + turn * (asking.answer_tok + asking.adding_tok)
         customer = self.variant.customer
-        return self.dry.ask(
+        return self.dry.submit(
             self.judge.of.products[product or self.variant.product],
             self.judge.of.customers[customer] if customer is not None else None,
             session or f"{self.mark} {number}",
@@ -279,20 +279,22 @@
         if isinstance(one, s.Clock):
             self.judge.touched.states.add("clock")
         elif isinstance(one, s.While):
-            names = part(self.judge.sets.select(one.where, self.plan.at), one.amount, self.mark)
+            names = choose_servers(
+                self.judge.sets.select(one.where, self.plan.location), one.amount, self.mark
+            )
             if not names:
                 raise Vacuous(f"{one.amount.text()}{one.where.text()} is no server at all")
             self.judge.touched.states.add(one.state)
-            dry.state(names, one.state, one.number)
+            dry.set_state(names, one.state, one.number)
         elif isinstance(one, s.Load):
             self._load(one.rate)
-            dry.until(dry.now + LEAD)
+            dry.run_until(dry.now + LEAD)
         elif isinstance(one, s.Deploy):
             self._deploy(one)
         elif isinstance(one, s.Restart):
             dry.restart()
         elif isinstance(one, s.Pause):
-            dry.until(dry.now + one.time)
+            dry.run_until(dry.now + one.time)
         elif isinstance(one, s.History):
             asking = one.asking
             products = asking.products or tuple(self.judge.of.products)
@@ -307,9 +309,9 @@
                         product=products[number % len(products)],
                         session=f"{self.mark} before {one.line} {number}",
                     )
-                    dry.until(dry.now + gap)
+                    dry.run_until(dry.now + gap)
             if not asking.rate:
-                dry.settle(60 * SECOND)
+                dry.run_to_end(60 * SECOND)
 
     def _load(self, rate: float) -> None:
         """Other generations, of all products in turn, until the statement's own are done."""
@@ -327,29 +329,32 @@
                     product=products[number % len(products)],
                     session=f"{self.mark} load {number}",
                 )
-                dry.at(dry.now + round(SECOND / rate), come)
+                dry.schedule(dry.now + round(SECOND / rate), come)
 
         come()
 
     def _deploy(self, one: s.Deploy) -> None:
         """Batch by batch: draining, gone, back cold."""
-        dry, names = self.dry, part(self.judge.sets.select(one.where, self.plan.at), s.Amount(), self.mark)
+        dry, names = (
+            self.dry,
+            choose_servers(self.judge.sets.select(one.where, self.plan.location), s.Amount(), self.mark),
+        )
         batches = [names[at : at + one.size] for at in range(0, len(names), one.size)]
         step = max(1, one.time // len(batches))
         self.deploy = dry.now, dry.now + one.time
         self.judge.touched.states |= {"drains", "gone", "cold"}
         for number, batch in enumerate(batches):
             begin = dry.now + number * step
-            dry.at(begin, lambda batch=batch: dry.state(batch, "drains"))  # type: ignore[misc]
-            dry.at(begin + step // 2, lambda batch=batch: dry.state(batch, "gone"))  # type: ignore[misc]
-            dry.at(begin + step, lambda batch=batch: dry.state(batch, "cold"))  # type: ignore[misc]
+            dry.schedule(begin, lambda batch=batch: dry.set_state(batch, "drains"))  # type: ignore[misc]
+            dry.schedule(begin + step // 2, lambda batch=batch: dry.set_state(batch, "gone"))  # type: ignore[misc]
+            dry.schedule(begin + step, lambda batch=batch: dry.set_state(batch, "cold"))  # type: ignore[misc]
 
     # What became of it.
 
     def decisions(self) -> list[str]:
         return [f"{self.variant.text()}: {self._path(story)}" for story in self.stories[:200]]
 
-    def _path(self, story: Story) -> str:
+    def _path(self, story: Trace) -> str:
         legs = [f"{leg.server.name} {leg.outcome or 'out'}" for leg in story.gen.legs]
         return ", ".join([*legs, story.end or "no answer"])
 
@@ -364,23 +369,23 @@
                 touched.racks.add(f"{leg.server.zone}/{leg.server.cell}")
                 touched.outcomes.add(leg.outcome or "out")
 
-    def _names(self, place: s.Place, story: Story, bound: str) -> frozenset[str]:
+    def _names(self, place: s.Place, story: Trace, bound: str) -> frozenset[str]:
         """The servers that a place means for this generation. Raises Vacuous."""
         if isinstance(place, s.Where):
-            return self.judge.sets.select(place, self.plan.at)
+            return self.judge.sets.select(place, self.plan.location)
         servers = self.dry.servers.values()
 
         def those(able: Callable[[Server], bool]) -> frozenset[str]:
             return frozenset(one.name for one in servers if able(one))
 
         if place.what == "owner":
-            if story.earlier is None or story.earlier.served is None:
+            if story.previous_turn is None or story.previous_turn.served_by is None:
                 raise Vacuous("it has no earlier turn that a writer served")
-            return frozenset((story.earlier.served.name,))
+            return frozenset((story.previous_turn.served_by.name,))
         if place.what == "holder":
-            if not story.holder_cells:
+            if not story.prefix_cells:
                 raise Vacuous("no rack held its opening when it came")
-            return those(lambda one: one.cell in story.holder_cells)
+            return those(lambda one: one.cell in story.prefix_cells)
         if place.what == "same rack":
             read = [leg.server for leg in story.gen.legs if leg.outcome == "read"]
             if not read:
@@ -396,17 +401,17 @@
         what = {"that rack": "cell", "that zone": "zone", "that server": "name"}[place.what]
         return those(lambda one: str(getattr(one, what)) == bound)
 
-    def _went(self, story: Story, which: s.Part, place: s.Place, bound: str) -> bool | None:
+    def _went(self, story: Trace, which: s.Part, place: s.Place, bound: str) -> bool | None:
         """Whether it went there; None if it was not served at all."""
         names = self._names(place, story, bound)
         legs = story.gen.legs
         if which == "written":
-            return story.served.name in names if story.served is not None else None
+            return story.served_by.name in names if story.served_by is not None else None
         if which == "read" or (isinstance(place, s.Dynamic) and place.what == "holder"):
-            read = next((leg.server for leg in reversed(legs) if leg.outcome == "read"), story.served)
+            read = next((leg.server for leg in reversed(legs) if leg.outcome == "read"), story.served_by)
             return read.name in names if read is not None else None
         if isinstance(place, s.Dynamic) and place.what in ("another rack", "another server"):
-            return story.served.name in names if story.served is not None else None
+            return story.served_by.name in names if story.served_by is not None else None
         roles = {one.role for one in self.dry.servers.values() if one.name in names}
         ours = [leg for leg in legs if leg.server.role in roles]
         return all(leg.server.name in names for leg in ours) if ours else None
@@ -414,7 +419,9 @@
     def _bounds(self, then: s.Then) -> list[str]:
         if then.every is None:
             return [""]
-        names = self.judge.sets.select(then.of, self.plan.at) if then.of else frozenset(self.dry.servers)
+        names = (
+            self.judge.sets.select(then.of, self.plan.location) if then.of else frozenset(self.dry.servers)
+        )
         what = {"rack": "cell", "zone": "zone", "server": "name"}[then.every]
         return sorted({str(getattr(one, what)) for one in self.dry.servers.values() if one.name in names})
 
@@ -431,7 +438,7 @@
                     return finding
         return Finding(then, True)
 
-    def _one(self, then: s.Then, story: Story, bound: str) -> Finding:
+    def _one(self, then: s.Then, story: Trace, bound: str) -> Finding:
         claim, gen = then.claim, story.gen
         which = f" ({then.every} {bound})" if bound else ""
         found = self._path(story)
@@ -453,24 +460,24 @@
             if claim.within is None:
                 if story.end not in ("throttled", "terminated"):
                     raise Vacuous(f"it was {story.end or 'never answered'}, not given up")
-                late = (story.answered or 0) - story.last_back
+                late = (story.answered_at or 0) - story.last_leg_ended
                 return Finding(then, late <= 0, f"{late / 10:.1f} ms after its last leg was back")
-            took = None if story.answered is None else story.answered - gen.arrived
+            took = None if story.answered_at is None else story.answered_at - gen.arrived
             return Finding(
                 then,
                 took is not None and took <= claim.within,
                 f"{'never' if took is None else f'after {took / 10:.0f} ms'}; {found}",
             )
         if isinstance(claim, s.Released):
-            if not story.held_at_all:
+            if not story.ever_held:
                 raise Vacuous("nothing was held for it")
             return Finding(
                 then,
-                story.longest_held <= claim.within,
-                f"held {story.longest_held / 10:.0f} ms with no leg out",
+                story.longest_idle_hold <= claim.within,
+                f"held {story.longest_idle_hold / 10:.0f} ms with no leg out",
             )
         assert isinstance(claim, s.Rules)
-        broken = [text for rule, text in self.dry.breaches if claim.name in (None, rule)]
+        broken = [text for rule, text in self.dry.violations if claim.name in (None, rule)]
         return Finding(then, not broken, "; ".join(broken[:3]))
 
     # Shares.
@@ -503,7 +510,7 @@
     def _decided(self, shares: list[s.Then]) -> bool:
         """Whether more generations would change nothing. Those under way count as what they will be, so they are let
         end first; time that they take goes by for all."""
-        self.dry.until(self.dry.now + LEAD)
+        self.dry.run_until(self.dry.now + LEAD)
         return all("too close" not in finding.why for finding in map(self._finding, shares))
 
 
--- a/stackpitch/expect/mutate.py
+++ b/stackpitch/expect/mutate.py
@@ -10,7 +10,7 @@
 from zlib import crc32
 
 from stackpitch.expect.book import Book
-from stackpitch.expect.deployment import deployment
+from stackpitch.expect.deployment import build_deployment
 from stackpitch.expect.judge import Judge
 from stackpitch.settings import BadSettings, Fleet, Settings
 from stackpitch.settings.load import check
@@ -143,13 +143,14 @@
             yield Mutation(where, text, settings, check(Fleet, tree, "changed"))
 
 
-def words(book: Book, settings: Settings, fleet: Fleet) -> dict[str, str]:
+def verdict_words(book: Book, settings: Settings, fleet: Fleet) -> dict[str, str]:
     return {
-        verdict.statement.name: verdict.word() for verdict in Judge(book, deployment(settings, fleet)).all()
+        verdict.statement.name: verdict.word()
+        for verdict in Judge(book, build_deployment(settings, fleet)).all()
     }
 
 
 def noticed_by(book: Book, mutation: Mutation, before: dict[str, str], order: list[str]) -> str | None:
     """The first statement, in this order, whose word the change turns."""
-    judge = Judge(book, deployment(mutation.settings, mutation.fleet))
+    judge = Judge(book, build_deployment(mutation.settings, mutation.fleet))
     return next((name for name in order if judge.judge(name).word() != before[name]), None)
--- a/stackpitch/expect/report.py
+++ b/stackpitch/expect/report.py
@@ -80,16 +80,16 @@
             + f", time limit {gen.product.time_limit / 10:g} ms"
         )
         for step in told.steps:
-            lines.append(f"  {(step.at - begin) / 10:9.1f} ms  {step.text}")
-            lines += _board(step.board)
-            if step.queue:
-                lines.append(f"                 queue: {step.queue:.0f} ms estimated")
+            lines.append(f"  {(step.time - begin) / 10:9.1f} ms  {step.text}")
+            lines += _board(step.servers)
+            if step.queue_wait_ms:
+                lines.append(f"                 queue: {step.queue_wait_ms:.0f} ms estimated")
     if len(play.stories) > 1:
         lines.append(f"  ({len(play.stories)} generations came; this is one of them)")
     lines += (
         [
             f"  {(at - play.stories[0].gen.arrived) / 10:9.1f} ms  the module logs: {text}"
-            for at, text in play.dry.modes[-5:]
+            for at, text in play.dry.log_lines[-5:]
         ]
         if play.stories
         else []
--- a/stackpitch/expect/watchlist.py
+++ b/stackpitch/expect/uncovered.py
@@ -10,7 +10,7 @@
 ENDS = ("streamed", "throttled", "terminated", "departed")
 
 
-def untouched(book: Book, of: Deployment, judge: Judge) -> dict[str, list[str]]:
+def uncovered_subjects(book: Book, of: Deployment, judge: Judge) -> dict[str, list[str]]:
     """By subject, what is left once `judge` has judged all statements."""
     touched = judge.touched
     named = set[str]()
@@ -28,10 +28,12 @@
                 wheres.append(then.claim.where)
             if then.every is not None:
                 named |= (
-                    {one.name for one in of.fleet} if then.of is None else judge.sets.select(then.of, plan.at)
+                    {one.name for one in of.fleet}
+                    if then.of is None
+                    else judge.sets.select(then.of, plan.location)
                 )
         for where in wheres:
-            named |= judge.sets.select(where, plan.at)
+            named |= judge.sets.select(where, plan.location)
     racks = {f"{one.zone}/{one.cell}" for one in of.fleet}
     return {
         "products": sorted(set(of.products) - touched.products),
--- a/stackpitch/membership/bundle.py
+++ b/stackpitch/membership/bundle.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from stackpitch.expect.book import Book
-from stackpitch.expect.deployment import deployment
+from stackpitch.expect.deployment import build_deployment
 from stackpitch.expect.judge import Judge
 from stackpitch.expect.parse import BadStatement, read_page
 from stackpitch.membership.entries import Entry, digest
@@ -136,7 +136,7 @@
         },
         "list",
     )
-    judge = Judge(book, deployment(settings, weighed))
+    judge = Judge(book, build_deployment(settings, weighed))
     names = [name for name, (_, one) in book.statements.items() if one.guard]
     return [
         f'{one.file}:{one.statement.line}: guard "{one.statement.name}" {one.word()}: {one.why()}'
--- a/tests/test_expect.py
+++ b/tests/test_expect.py
@@ -17,9 +17,9 @@
 from stackpitch.expect import mutate, report
 from stackpitch.expect import syntax as s
 from stackpitch.expect.book import Book
-from stackpitch.expect.deployment import deployment
+from stackpitch.expect.deployment import build_deployment
+from stackpitch.expect.formatter import format_page
 from stackpitch.expect.judge import Judge, interval, shrink
-from stackpitch.expect.layout import layout
 from stackpitch.expect.parse import BadStatement, parse
 from stackpitch.preferences import RuledBrain
 from stackpitch.settings import BadSettings
@@ -40,7 +40,7 @@
 def judged(text, name="hall-20", settings=None, fleet=None, make=RuledBrain):
     given, _ = read(name)
     book = Book([parse(text, "made.expect")])
-    judge = Judge(book, deployment(settings or given.settings, fleet or given.fleet), make=make)
+    judge = Judge(book, build_deployment(settings or given.settings, fleet or given.fleet), make=make)
     return judge, {one.statement.name: one for one in judge.all()}
 
 
@@ -131,7 +131,7 @@
 def test_a_broken_configuration_fails_by_name(name, path, value, statement):
     given, book = read(name)
     settings, fleet = changed(given, path, value)
-    judge = Judge(book, deployment(settings, fleet))
+    judge = Judge(book, build_deployment(settings, fleet))
     assert not judge.judge(statement).passed
 
 
@@ -469,7 +469,7 @@
 
 def test_most_changes_are_noticed():
     given, book = read("hall-20")
-    before = mutate.words(book, given.settings, given.fleet)
+    before = mutate.verdict_words(book, given.settings, given.fleet)
     changes = [
         one
         for one in mutate.mutations(given.settings, given.fleet, 2)
@@ -571,7 +571,7 @@
     except BadStatement as wrong:
         assert "\n" not in str(wrong)
     else:
-        assert parse(layout(page), "fuzzed") == page
+        assert parse(format_page(page), "fuzzed") == page
 
 
 NAMES = st.sampled_from(["w1", "hall-20", "a b", "7", "r.1", "every-day", "in", "é"])
@@ -713,15 +713,15 @@
 @given(STATEMENTS)
 def test_what_is_written_is_read_back(statement):
     page = s.Page("x", (s.Definition("some racks", s.Where((s.Term("servers"),))), statement))
-    text = layout(page)
+    text = format_page(page)
     again = parse(text, "x")
     assert again == page, text
-    assert layout(again) == text
+    assert format_page(again) == text
 
 
 def test_comments_stay_where_they_stood():
     text = '# head\ndefine "x" as servers  # beside "x"\n\nstatement "y":\n  # before\n  when a first turn of a comes\n  then it is streamed\n# end\n'
-    assert layout(parse(text, "x")) == text
+    assert format_page(parse(text, "x")) == text
 
 
 def test_the_command(tmp_path):
