--- a/stackpitch/expect/book.py
+++ b/stackpitch/expect/book.py
@@ -1,4 +1,4 @@
-"""All files of statements together: names looked up, situations put in, contradictions found. Pure."""
+"""The statements of all files: resolves names, expands situations and finds contradictions. Pure."""
 
 from collections.abc import Container, Iterable, Iterator
 from dataclasses import dataclass, replace
@@ -10,96 +10,110 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A statement made ready for one configuration."""
+    """A statement with its situations expanded to circumstances."""
 
     statement: s.Statement
     file: str
-    circumstances: tuple[s.Circumstance, ...]  # none of them `Given`
+    circumstances: tuple[s.Circumstance, ...]  # without `Given`
 
     @property
     def location(self) -> str:
+        """File and line of the statement, for messages."""
         return f"{self.file}:{self.statement.line}"
 
 
 class Book:
-    """Definitions, situations and statements of several pages. Raises BadStatement on names that occur twice."""
+    """The definitions, situations and statements of all files, by name.
+
+    Raises BadStatement on a name that is used twice.
+    """
 
     def __init__(self, pages: Iterable[s.Page]) -> None:
         self.definitions: dict[str, s.Definition] = {}
         self.situations: dict[str, s.Situation] = {}
-        self.statements: dict[str, tuple[str, s.Statement]] = {}  # with the file
+        self.statements: dict[str, tuple[str, s.Statement]] = {}  # file and statement
         for page in pages:
-            for one in page.items:
-                table: Container[str] = self.statements
-                if isinstance(one, s.Definition):
-                    table = self.definitions
-                elif isinstance(one, s.Situation):
-                    table = self.situations
-                if one.name in table:
-                    raise BadStatement(f'{page.file}:{one.line}: "{one.name}" stands in another file already')
-                if isinstance(one, s.Definition):
-                    self.definitions[one.name] = one
-                elif isinstance(one, s.Situation):
-                    self.situations[one.name] = one
+            for item in page.items:
+                names_in_use: Container[str] = self.statements
+                if isinstance(item, s.Definition):
+                    names_in_use = self.definitions
+                elif isinstance(item, s.Situation):
+                    names_in_use = self.situations
+                if item.name in names_in_use:
+                    raise BadStatement(
+                        f'{page.file}:{item.line}: "{item.name}" is already defined in another file'
+                    )
+                if isinstance(item, s.Definition):
+                    self.definitions[item.name] = item
+                elif isinstance(item, s.Situation):
+                    self.situations[item.name] = item
                 else:
-                    self.statements[one.name] = page.file, one
+                    self.statements[item.name] = page.file, item
 
     def plan(self, name: str) -> Plan:
-        """Raises BadStatement on situations that are not there or lead back to themselves."""
+        """Expands the situations of a statement. Raises BadStatement if one is unknown or recursive."""
         file, statement = self.statements[name]
         return Plan(
-            statement, file, tuple(self._flat(statement.circumstances, f"{file}:{statement.line}", ()))
+            statement, file, tuple(self._flatten(statement.circumstances, f"{file}:{statement.line}", ()))
         )
 
-    def _flat(
-        self, circumstances: Iterable[s.Circumstance], at: str, inside: tuple[str, ...]
+    def _flatten(
+        self, circumstances: Iterable[s.Circumstance], location: str, open_situations: tuple[str, ...]
     ) -> Iterator[s.Circumstance]:
-        for one in circumstances:
-            if not isinstance(one, s.Given):
-                yield one
+        for circumstance in circumstances:
+            if not isinstance(circumstance, s.Given):
+                yield circumstance
                 continue
-            if one.name not in self.situations:
+            if circumstance.name not in self.situations:
                 raise BadStatement(
-                    f'{at}: no situation "{one.name}"; there are: {list_names(self.situations)}'
+                    f'{location}: no situation "{circumstance.name}"; there are: {list_names(self.situations)}'
                 )
-            if one.name in inside or len(inside) > 20:
-                raise BadStatement(f'{at}: situation "{one.name}" leads back to itself')
-            yield from self._flat(self.situations[one.name].circumstances, at, (*inside, one.name))
-
-    def check(self, plan: Plan, of: Deployment, sets: ServerSets) -> None:
-        """Raises BadStatement if the statement can't apply to the configuration at all."""
-        at, statement = plan.location, plan.statement
-        asked = [one.asking for one in plan.circumstances if isinstance(one, s.History)]
-        asked += [statement.asking] if statement.asking is not None else []
-        for asking in asked:
+            if circumstance.name in open_situations or len(open_situations) > 20:
+                raise BadStatement(f'{location}: situation "{circumstance.name}" leads back to itself')
+            yield from self._flatten(
+                self.situations[circumstance.name].circumstances,
+                location,
+                (*open_situations, circumstance.name),
+            )
+
+    def check(self, plan: Plan, deployment: Deployment, sets: ServerSets) -> None:
+        """Raises BadStatement if the statement can't apply to the configuration."""
+        location, statement = plan.location, plan.statement
+        askings = [
+            circumstance.asking for circumstance in plan.circumstances if isinstance(circumstance, s.History)
+        ]
+        askings += [statement.asking] if statement.asking is not None else []
+        for asking in askings:
             for product in asking.products:
-                if product not in of.products:
+                if product not in deployment.products:
                     raise BadStatement(
-                        f'{at}: no product "{product}" in this configuration; there are: {list_names(of.products)}'
+                        f'{location}: no product "{product}" in this configuration; there are: '
+                        f"{list_names(deployment.products)}"
                     )
             for customer in asking.customers or ():
-                if customer not in of.customers:
+                if customer not in deployment.customers:
                     raise BadStatement(
-                        f'{at}: no customer "{customer}" in this configuration; there are: '
-                        f"{list_names(of.customers)}"
+                        f'{location}: no customer "{customer}" in this configuration; there are: '
+                        f"{list_names(deployment.customers)}"
                     )
-            if asking.customers == () and not of.customers:
-                raise BadStatement(f"{at}: every customer: this configuration has none")
-        for one in plan.circumstances:
-            if isinstance(one, s.While | s.Deploy):
-                names = sets.select(one.where, at)
+            if asking.customers == () and not deployment.customers:
+                raise BadStatement(f"{location}: every customer: this configuration has none")
+        for circumstance in plan.circumstances:
+            if isinstance(circumstance, s.While | s.Deploy):
+                names = sets.select(circumstance.where, location)
                 if (
-                    isinstance(one, s.While)
-                    and one.amount.how in ("some", "all but")
-                    and one.amount.number > len(names)
+                    isinstance(circumstance, s.While)
+                    and circumstance.amount.how in ("some", "all but")
+                    and circumstance.amount.number > len(names)
                 ):
                     raise BadStatement(
-                        f'{at}: "{one.where.text()}" means {len(names)} servers, not {one.amount.number:g}'
+                        f'{location}: "{circumstance.where.text()}" means {len(names)} servers, not '
+                        f"{circumstance.amount.number:g}"
                     )
         for then in statement.thens:
             claim = then.claim
             if then.of is not None:
-                sets.select(then.of, at)
+                sets.select(then.of, location)
             place = (
                 claim.place
                 if isinstance(claim, s.Goes)
@@ -108,83 +122,91 @@
                 else None
             )
             if isinstance(place, s.Where):
-                sets.select(place, at)
+                sets.select(place, location)
             if (
                 isinstance(place, s.Dynamic)
                 and place.what.startswith("that ")
                 and place.what != f"that {then.every}"
             ):
                 raise BadStatement(
-                    f'{at}: "{place.text()}": nothing says which; begin with "for every {place.what[5:]},"'
+                    f'{location}: "{place.text()}": nothing says which; begin with "for every {place.what[5:]},"'
                 )
             if isinstance(claim, s.Share) and (
                 statement.asking is None or (statement.asking.count or 1) < 20
             ):
-                raise BadStatement(f'{at}: "{claim.text()}": a share is of many; say 20 turns at least')
+                raise BadStatement(f'{location}: "{claim.text()}": a share is of many; say 20 turns at least')
 
     def contradictions(self, sets: ServerSets) -> list[tuple[str, str, str]]:
-        """Pairs of statements that can't both hold: names, and the claims that clash."""
+        """Pairs of statements that can't both hold: their names, and the two claims that contradict.
+
+        A statement is also compared with itself. Only statements with equal circumstances and equal requests,
+        but for the products, are compared.
+        """
         groups: dict[object, list[s.Statement]] = {}
         for name in self.statements:
             plan = self.plan(name)
             asking = plan.statement.asking
             key = None if asking is None else (plan.circumstances, replace(asking, products=()))
             groups.setdefault(key, []).append(plan.statement)
-        found = []
+        contradictions = []
         for group in groups.values():
-            for number, one in enumerate(group):
-                for other in group[number:]:
-                    said = self._clash(one, other, sets)
-                    if said is not None:
-                        found.append((one.name, other.name, said))
-        return found
+            for index, statement in enumerate(group):
+                for other in group[index:]:
+                    clash_text = self._find_clash(statement, other, sets)
+                    if clash_text is not None:
+                        contradictions.append((statement.name, other.name, clash_text))
+        return contradictions
 
     @staticmethod
-    def _clash(one: s.Statement, other: s.Statement, sets: ServerSets) -> str | None:
-        if one.asking is not None and other.asking is not None:
-            ours, theirs = set(one.asking.products), set(other.asking.products)
-            if ours and theirs and not ours & theirs:
+    def _find_clash(statement: s.Statement, other: s.Statement, sets: ServerSets) -> str | None:
+        if statement.asking is not None and other.asking is not None:
+            products, other_products = set(statement.asking.products), set(other.asking.products)
+            if products and other_products and not products & other_products:
                 return None
-        for number, mine in enumerate(one.thens):
-            for yours in other.thens[number + 1 :] if one is other else other.thens:
-                if (mine.every, mine.of) == (yours.every, yours.of) and (
-                    clash(mine.claim, yours.claim, sets) or clash(yours.claim, mine.claim, sets)
+        for index, then in enumerate(statement.thens):
+            for other_then in other.thens[index + 1 :] if statement is other else other.thens:
+                if (then.every, then.of) == (other_then.every, other_then.of) and (
+                    claims_clash(then.claim, other_then.claim, sets)
+                    or claims_clash(other_then.claim, then.claim, sets)
                 ):
-                    return f'"{mine.text()}" and "{yours.text()}"'
+                    return f'"{then.text()}" and "{other_then.text()}"'
         return None
 
 
-def clash(one: s.Claim, other: s.Claim, sets: ServerSets) -> bool:
-    """Whether no generation can do both, as far as that shows without playing it. Ask both ways round."""
-    if isinstance(one, s.Ended) and isinstance(other, s.Ended):
-        return one.wanted and (
-            (other.wanted and one.how != other.how) or (not other.wanted and one.how == other.how)
+def claims_clash(claim: s.Claim, other: s.Claim, sets: ServerSets) -> bool:
+    """Whether no generation can satisfy both claims, as far as that can be told without playing it.
+
+    Not symmetric: call it with the claims in both orders.
+    """
+    if isinstance(claim, s.Ended) and isinstance(other, s.Ended):
+        return claim.wanted and (
+            (other.wanted and claim.how != other.how) or (not other.wanted and claim.how == other.how)
         )
-    if isinstance(one, s.Ended) and isinstance(other, s.Goes):
-        return one.wanted and one.how == "throttled" and not other.never and other.part == "written"
-    if isinstance(one, s.Goes) and isinstance(other, s.Goes) and not one.never:
-        if isinstance(one.place, s.Where) and isinstance(other.place, s.Where):
-            ours, theirs = sets.select(one.place, ""), sets.select(other.place, "")
+    if isinstance(claim, s.Ended) and isinstance(other, s.Goes):
+        return claim.wanted and claim.how == "throttled" and not other.never and other.part == "written"
+    if isinstance(claim, s.Goes) and isinstance(other, s.Goes) and not claim.never:
+        if isinstance(claim.place, s.Where) and isinstance(other.place, s.Where):
+            names, other_names = sets.select(claim.place, ""), sets.select(other.place, "")
             if other.never:
-                return ours <= theirs
-            roles = {server.name: server.role for server in sets.of.fleet}
-            alike = one.part == other.part and (
-                one.part != "any" or {roles[name] for name in ours} & {roles[name] for name in theirs}
+                return names <= other_names
+            roles = {server.name: server.role for server in sets.deployment.fleet}
+            comparable = claim.part == other.part and (
+                claim.part != "any" or {roles[name] for name in names} & {roles[name] for name in other_names}
             )
-            return bool(alike) and not ours & theirs
-        return other.never and one.place == other.place
-    if isinstance(one, s.Legs) and isinstance(other, s.Legs):
-        return other.exactly and (other.count != one.count if one.exactly else other.count > one.count)
-    if isinstance(one, s.Legs) and isinstance(other, s.Resent):
-        return other.wanted and one.count < 2
-    if isinstance(one, s.Resent) and isinstance(other, s.Resent):
-        return one.wanted != other.wanted
-    if isinstance(one, s.Share) and isinstance(other, s.Share):
+            return bool(comparable) and not names & other_names
+        return other.never and claim.place == other.place
+    if isinstance(claim, s.Legs) and isinstance(other, s.Legs):
+        return other.exactly and (other.count != claim.count if claim.exactly else other.count > claim.count)
+    if isinstance(claim, s.Legs) and isinstance(other, s.Resent):
+        return other.wanted and claim.count < 2
+    if isinstance(claim, s.Resent) and isinstance(other, s.Resent):
+        return claim.wanted != other.wanted
+    if isinstance(claim, s.Share) and isinstance(other, s.Share):
         return (
-            one.part == other.part
-            and one.what == other.what
-            and (one.high < other.low or other.high < one.low)
+            claim.part == other.part
+            and claim.what == other.what
+            and (claim.high < other.low or other.high < claim.low)
         )
-    if isinstance(one, s.Fact) and isinstance(other, s.Fact):
-        return one.path == other.path and one.value != other.value
+    if isinstance(claim, s.Fact) and isinstance(other, s.Fact):
+        return claim.path == other.path and claim.value != other.value
     return False
--- a/stackpitch/expect/dry_run.py
+++ b/stackpitch/expect/dry_run.py
@@ -1,10 +1,10 @@
 """Discrete-event simulation of the servers and clients around the real decision module.
 
-It uses no socket, no clock and no process. `DryRun` is the `Gateway` that the decision module (`Brain`) talks to.
-Simulated servers follow the simple rules below unless a circumstance of the statement overrides them, and
-simulated time jumps from one scheduled event to the next. Server speeds are arbitrary: statements are about where
-requests are routed and how they end, not about latency. The module gets all inputs that it gets in a real gateway:
-server lists, leg outcomes, load reports and clients that disconnect.
+It uses no socket, no clock and no process. `DryRun` is the `Gateway` that the decision module (`Brain`) talks
+to. Simulated servers follow the simple rules below unless a circumstance of the statement overrides them, and
+simulated time jumps from one scheduled event to the next. Server speeds are arbitrary: statements are about
+where requests are routed and how they end, not about latency. The module gets all inputs that it gets in a
+real gateway: server lists, leg outcomes, load reports and clients that disconnect.
 
 Times are in units of 0.1 ms.
 """
@@ -46,8 +46,8 @@
     "gives an error": ("error", 20 * MS),
 }
 ROSTER_STATES: dict[str, State] = {"drains": "draining", "gone": "gone", "ready": "ready"}
-# The slow-start check counts the tokens sent to a cold server within SEND_WINDOW. Up to MIN_COLD_LEGS legs in it
-# are no violation.
+# The slow-start check counts the tokens sent to a cold server within SEND_WINDOW. Up to MIN_COLD_LEGS legs in
+# it are no violation.
 SEND_WINDOW, MIN_COLD_LEGS = 5 * SECOND, 4
 
 
@@ -100,9 +100,9 @@
 class DryRun:
     """The simulated gateway, servers and clients of one play.
 
-    `play_id` seeds the decision module and names the generations, so a play can be repeated exactly. `explain` records
-    the steps of the generations under test, with the module's view of its servers. All tables last as long as the
-    dry run, which ends with the play.
+    `play_id` seeds the decision module and names the generations, so a play can be repeated exactly. `explain`
+    records the steps of the generations under test, with the module's view of its servers. All tables last as
+    long as the dry run, which ends with the play.
     """
 
     def __init__(
@@ -127,7 +127,7 @@
         self.servers = deployment.servers()
         self.conditions = {server: Condition() for server in self.servers.values()}
         self.traces: dict[Generation, Trace] = {}
-        self.prefix_cells: dict[str, set[int]] = {}  # shared prefix to the racks where it was read
+        self.cells_by_prefix: dict[str, set[int]] = {}  # shared prefix to the racks where it was read
         # Session to the server that caches it, that server's start time, and the number of cached tokens.
         self.cached_sessions: dict[str, tuple[Server, Time | None, int]] = {}
         self.in_flight_tok: dict[Server, int] = {}  # prompt tokens
@@ -279,7 +279,7 @@
             gen, answer_tok, previous_turn, under_test, deque(scripted_events), client_leaves
         )
         trace.last_leg_ended = self.now
-        trace.prefix_cells = frozenset(self.prefix_cells.get(prefix or "", ()))
+        trace.prefix_cells = frozenset(self.cells_by_prefix.get(prefix or "", ()))
         self._record_step(trace, "arrives", snapshot=True)
         if client_leaves:
             delay = {"leaves at once": 1 * MS, "leaves": 10 * MS, "leaves mid-stream": 0}[client_leaves]
@@ -467,7 +467,7 @@
             trace.ever_held = True
             trace.reservations.append(leg.server)
             if gen.shared is not None:
-                self.prefix_cells.setdefault(gen.shared, set()).add(leg.server.cell)
+                self.cells_by_prefix.setdefault(gen.shared, set()).add(leg.server.cell)
         elif outcome == "streamed":
             cached_tok = self._cached_tok(trace, leg.server)
             self.cached_sessions[gen.session or gen.name] = (
@@ -558,8 +558,8 @@
     def _check_slow_start(self, server: Server, sent: deque[tuple[Time, Server, int]], warm_up: Time) -> None:
         """Checks that a cold server gets no more than its share of prompt tokens.
 
-        The limit is the mean of the warm servers of its role, but at least MIN_COLD_LEGS times the last leg, times
-        `fall_multiple`, times the share of a warm server's load that it may take at its age.
+        The limit is the mean of the warm servers of its role, but at least MIN_COLD_LEGS times the last leg,
+        times `fall_multiple`, times the share of a warm server's load that it may take at its age.
         """
         server_tok = [tok for _, other, tok in sent if other is server]
         warm_servers = [
