--- a/stackpitch/expect/__init__.py
+++ b/stackpitch/expect/__init__.py
@@ -1,1 +1,1 @@
-"""Statements on what the router does, tried in a dry world with the real decision modules."""
+"""Tests of routing, written as statements and run against the real decision module in a dry run."""
--- a/stackpitch/expect/formatter.py
+++ b/stackpitch/expect/formatter.py
@@ -1,4 +1,7 @@
-"""Writes a page back in the one form that it has. Pure. Comments stay before, or beside, what they stood at."""
+"""Formats a file of statements. Pure.
+
+A comment stays above, or at the end of, the line that it belongs to.
+"""
 
 from collections.abc import Iterator
 
@@ -6,29 +9,29 @@
 
 
 def _lines(page: Page) -> Iterator[tuple[int, str]]:
-    """Each line with where it stood; 0 where that is not known."""
-    for number, one in enumerate(page.items):
-        if number and not (isinstance(one, Definition) and isinstance(page.items[number - 1], Definition)):
+    """Each line with its former line number; 0 where that is unknown, -1 for an empty line."""
+    for index, item in enumerate(page.items):
+        if index and not (isinstance(item, Definition) and isinstance(page.items[index - 1], Definition)):
             yield -1, ""
-        if isinstance(one, Definition):
-            yield one.line, one.text()
+        if isinstance(item, Definition):
+            yield item.line, item.text()
         else:
-            yield from one.lines()
+            yield from item.lines()
 
 
 def format_page(page: Page) -> str:
-    """The page's text. Of its own output it changes nothing."""
+    """The formatted text of a file. Formatting it again changes nothing."""
     out: list[str] = []
-    waiting = list(page.comments)
+    pending = list(page.comments)
     for line, text in _lines(page):
         indent = text[: len(text) - len(text.lstrip())]
-        beside = ""
-        while waiting and line > 0 and waiting[0][0] <= line:
-            at, said = waiting.pop(0)
-            if at == line:
-                beside = f"  {said}"
+        trailing = ""
+        while pending and line > 0 and pending[0][0] <= line:
+            comment_line, comment = pending.pop(0)
+            if comment_line == line:
+                trailing = f"  {comment}"
             else:
-                out.append(indent + said)
-        out.append(text + beside)
-    out += [said for _, said in waiting]
+                out.append(indent + comment)
+        out.append(text + trailing)
+    out += [comment for _, comment in pending]
     return "\n".join(out) + "\n" if out else ""
--- a/stackpitch/expect/mutate.py
+++ b/stackpitch/expect/mutate.py
@@ -1,6 +1,7 @@
-"""Changes of a configuration, one at a time, to see which of them no statement notices. Pure.
+"""Mutation testing of statements: finds changes of a configuration that no statement notices. Pure.
 
-A change is noticed if any statement's word on it differs: it fails, no longer comes about, or can't apply.
+Each mutation changes the configuration in one place. A change is noticed if it alters the verdict of any
+statement: the statement fails, its situation no longer comes about, or it can't apply.
 """
 
 from collections.abc import Iterator
@@ -17,7 +18,8 @@
 
 Tree = dict[str, Any]
 EFFECTS = ("idempotent", "deduplicated", "side-effecting")
-PRODUCT_TIMES = {
+# Factors by which fields of a product are multiplied.
+PRODUCT_FACTORS = {
     "slo_ms": (0.1, 10),
     "time_limit_ms": (0.1, 10),
     "memory_ms": (0.1, 10),
@@ -25,7 +27,8 @@
     "late_revenue": (0, 10),
     "token_gap_ms": (0.1, 10),
 }
-MODULE = {
+# Values tried for arguments of the decision module.
+MODULE_VALUES = {
     "max_legs": (1, 2, 12),
     "gateways": (1, 20),
     "cold_from": (0.05, 1.0),
@@ -37,33 +40,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutation:
-    kind: str  # product, customer, kind, module, rule; of a server: dropped, rack, zone, drain, weight, kind of server
+    """A configuration with one change. `text` describes the change."""
+
+    # product, customer, kind, module or rule; for a server: dropped, rack, zone, drain, weight or
+    # kind of server
+    kind: str
     text: str
     settings: Settings
     fleet: Fleet
 
 
-def _settings(settings: Settings, path: str, value: Any) -> Settings | None:
-    """With one field changed; None if it is that already or the schema does not allow it."""
+def _with_setting(settings: Settings, path: str, value: Any) -> Settings | None:
+    """Settings with one field changed, or left out if `value` is None.
+
+    Returns None if the field has that value already or the schema rejects it.
+    """
     tree: Any = deepcopy(settings.model_dump())
-    *steps, last = path.split(".")
-    here = tree
-    for step in steps:
-        here = here[int(step)] if isinstance(here, list) else here[step]
+    *parents, key = path.split(".")
+    node = tree
+    for parent in parents:
+        node = node[int(parent)] if isinstance(node, list) else node[parent]
     if value is None:
-        del here[int(last) if isinstance(here, list) else last]
-    elif here[last] == value:
+        del node[int(key) if isinstance(node, list) else key]
+    elif node[key] == value:
         return None
     else:
-        here[last] = value
+        node[key] = value
     try:
         return check(Settings, tree, "changed")
     except BadSettings:
         return None
 
 
-def _fields(settings: Settings) -> Iterator[tuple[str, str, Any]]:
-    """Kind, path and new value (None: left out) of each change of settings."""
+def _setting_changes(settings: Settings) -> Iterator[tuple[str, str, Any]]:
+    """Kind, path and new value (None: left out) of each change of the settings."""
     for name, product in settings.products.items():
         path = f"products.{name}"
         if len(settings.products) > 1:
@@ -73,84 +83,86 @@
         if product.effect == "deduplicated":
             for scope in ("all", "zone", "cell"):
                 yield "product", f"{path}.scope", scope
-        for field, times in PRODUCT_TIMES.items():
+        for field, factors in PRODUCT_FACTORS.items():
             value = getattr(product, field)
-            for many in times if value else (None,):
-                if many is not None and (field != "memory_ms" or product.effect == "deduplicated"):
-                    yield "product", f"{path}.{field}", value * many
+            for factor in factors if value else (None,):
+                if factor is not None and (field != "memory_ms" or product.effect == "deduplicated"):
+                    yield "product", f"{path}.{field}", value * factor
     for name, customer in settings.customers.items():
         yield "customer", f"customers.{name}", None
         yield "customer", f"customers.{name}.share", customer.share + 0.5
         yield "customer", f"customers.{name}.quota_per_s", customer.quota_per_s * 10 + 1
     for name, kind in settings.kinds.items():
-        for many in (0.02, 10):
-            yield "kind", f"kinds.{name}.memory_tok", max(1, int(kind.memory_tok * many))
+        for factor in (0.02, 10):
+            yield "kind", f"kinds.{name}.memory_tok", max(1, int(kind.memory_tok * factor))
         for role in ("reader", "writer", "mixed"):
             yield "kind", f"kinds.{name}.role", role
-    for field, values in MODULE.items():
+    for field, values in MODULE_VALUES.items():
         for value in values:
             yield "module", f"module.{field}", value
     yield "module", "module.local_reads", not settings.module.local_reads
     yield "module", "module.zone", "elsewhere"
-    for number, rule in enumerate(settings.rules):
-        yield "rule", f"rules.{number}", None
-        turned = {"only": "never", "never": "only", "prefer": "avoid", "avoid": "prefer"}[rule.how]
-        yield "rule", f"rules.{number}.how", turned
+    for index, rule in enumerate(settings.rules):
+        yield "rule", f"rules.{index}", None
+        opposite = {"only": "never", "never": "only", "prefer": "avoid", "avoid": "prefer"}[rule.how]
+        yield "rule", f"rules.{index}.how", opposite
         if rule.products:
-            yield "rule", f"rules.{number}.products", []
+            yield "rule", f"rules.{index}.products", []
         if rule.hours:
-            yield "rule", f"rules.{number}.hours", []
+            yield "rule", f"rules.{index}.hours", []
 
 
-def _servers(settings: Settings, fleet: Fleet, most: int) -> Iterator[tuple[str, str, Tree]]:
-    """Kind, text and changed list of each change of one server: of `most` servers, drawn by hash, or of all."""
-    ranked = sorted(fleet.servers, key=lambda one: crc32(one.name.encode()))
-    chosen = {one.name for one in ranked[:most]}
-    cells = sorted({one.cell for one in fleet.servers})
-    zones = sorted({one.zone for one in fleet.servers})
-    for number, one in enumerate(fleet.servers):
-        if one.name not in chosen:
+def _server_changes(settings: Settings, fleet: Fleet, max_servers: int) -> Iterator[tuple[str, str, Tree]]:
+    """Kind, text and changed list of each change of one server: of `max_servers` drawn by hash, or of all."""
+    ranked = sorted(fleet.servers, key=lambda server: crc32(server.name.encode()))
+    chosen = {server.name for server in ranked[:max_servers]}
+    cells = sorted({server.cell for server in fleet.servers})
+    zones = sorted({server.zone for server in fleet.servers})
+    for index, server in enumerate(fleet.servers):
+        if server.name not in chosen:
             continue
         changed: list[tuple[str, str, dict[str, Any] | None]] = [("dropped", "left out", None)]
         if len(cells) > 1:
-            other = cells[(cells.index(one.cell) + 1) % len(cells)]
-            changed.append(("rack", f"in rack {other}", {"cell": other}))
+            other_cell = cells[(cells.index(server.cell) + 1) % len(cells)]
+            changed.append(("rack", f"in rack {other_cell}", {"cell": other_cell}))
         if len(zones) > 1:
             changed.append(
-                ("zone", "in another zone", {"zone": zones[(zones.index(one.zone) + 1) % len(zones)]})
+                ("zone", "in another zone", {"zone": zones[(zones.index(server.zone) + 1) % len(zones)]})
             )
         changed.append(("drain", "draining", {"state": "draining"}))
-        changed.append(("weight", "of another weight", {"weight": one.weight * 0.1}))
+        changed.append(("weight", "of another weight", {"weight": server.weight * 0.1}))
         changed += [
-            ("kind of server", f"a {kind}", {"kind": kind}) for kind in settings.kinds if kind != one.kind
+            ("kind of server", f"a {kind}", {"kind": kind}) for kind in settings.kinds if kind != server.kind
         ]
         for kind, text, fields in changed:
             tree = fleet.model_dump()
             if fields is None:
-                del tree["servers"][number]
+                del tree["servers"][index]
             else:
-                tree["servers"][number] |= fields
-            yield kind, f"server {one.name} {text}", tree
+                tree["servers"][index] |= fields
+            yield kind, f"server {server.name} {text}", tree
 
 
-def mutations(settings: Settings, fleet: Fleet, most_servers: int) -> Iterator[Mutation]:
-    for kind, path, value in _fields(settings):
-        changed = _settings(settings, path, value)
+def mutations(settings: Settings, fleet: Fleet, max_servers: int) -> Iterator[Mutation]:
+    """All mutations of the settings, then those of `max_servers` servers of the fleet."""
+    for kind, path, value in _setting_changes(settings):
+        changed = _with_setting(settings, path, value)
         if changed is not None:
             yield Mutation(kind, f"{path} {'left out' if value is None else f'= {value}'}", changed, fleet)
-    for where, text, tree in _servers(settings, fleet, most_servers):
+    for server_change, text, tree in _server_changes(settings, fleet, max_servers):
         if tree["servers"]:
-            yield Mutation(where, text, settings, check(Fleet, tree, "changed"))
+            yield Mutation(server_change, text, settings, check(Fleet, tree, "changed"))
 
 
 def verdict_words(book: Book, settings: Settings, fleet: Fleet) -> dict[str, str]:
+    """The verdict of each statement, by name of the statement."""
     return {
         verdict.statement.name: verdict.word()
         for verdict in Judge(book, build_deployment(settings, fleet)).all()
     }
 
 
-def noticed_by(book: Book, mutation: Mutation, before: dict[str, str], order: list[str]) -> str | None:
-    """The first statement, in this order, whose word the change turns."""
+def noticed_by(book: Book, mutation: Mutation, words_before: dict[str, str], order: list[str]) -> str | None:
+    """Name of the first statement, in this order, whose verdict the change alters; None if there is none."""
     judge = Judge(book, build_deployment(mutation.settings, mutation.fleet))
-    return next((name for name in order if judge.judge(name).word() != before[name]), None)
+    return next((name for name in order if judge.judge(name).word() != words_before[name]), None)
--- a/stackpitch/expect/uncovered.py
+++ b/stackpitch/expect/uncovered.py
@@ -1,4 +1,4 @@
-"""What no statement touches. Pure."""
+"""Coverage of statements: what of a configuration no statement exercises. Pure."""
 
 from stackpitch.expect import syntax as s
 from stackpitch.expect.book import Book
@@ -7,40 +7,44 @@
 
 STATES = ("drains", "gone", "cold", "hangs", "shunned", "full", "slow", "report", "refuse", "reset")
 OUTCOMES = ("streamed", "read", "error", "full", "time-out", "unreachable", "reset", "cancelled")
-ENDS = ("streamed", "throttled", "terminated", "departed")
+GENERATION_ENDS = ("streamed", "throttled", "terminated", "departed")
 
 
-def uncovered_subjects(book: Book, of: Deployment, judge: Judge) -> dict[str, list[str]]:
-    """By subject, what is left once `judge` has judged all statements."""
+def uncovered_subjects(book: Book, deployment: Deployment, judge: Judge) -> dict[str, list[str]]:
+    """What no statement covers, by subject. `judge` must have evaluated all statements."""
     touched = judge.touched
-    named = set[str]()
+    named_servers = set[str]()
     for name in book.statements:
         plan = book.plan(name)
-        wheres = [one.where for one in plan.circumstances if isinstance(one, s.While | s.Deploy)]
+        wheres = [
+            circumstance.where
+            for circumstance in plan.circumstances
+            if isinstance(circumstance, s.While | s.Deploy)
+        ]
         for then in plan.statement.thens:
             place = (
                 then.claim.place
                 if isinstance(then.claim, s.Goes)
                 else (then.claim.what if isinstance(then.claim, s.Share) else None)
             )
-            wheres += [one for one in (place, then.of) if isinstance(one, s.Where)]
+            wheres += [named for named in (place, then.of) if isinstance(named, s.Where)]
             if isinstance(then.claim, s.Count | s.Each):
                 wheres.append(then.claim.where)
             if then.every is not None:
-                named |= (
-                    {one.name for one in of.fleet}
+                named_servers |= (
+                    {server.name for server in deployment.fleet}
                     if then.of is None
                     else judge.sets.select(then.of, plan.location)
                 )
         for where in wheres:
-            named |= judge.sets.select(where, plan.location)
-    racks = {f"{one.zone}/{one.cell}" for one in of.fleet}
+            named_servers |= judge.sets.select(where, plan.location)
+    racks = {f"{server.zone}/{server.cell}" for server in deployment.fleet}
     return {
-        "products": sorted(set(of.products) - touched.products),
-        "customers": sorted(set(of.customers) - touched.customers),
+        "products": sorted(set(deployment.products) - touched.products),
+        "customers": sorted(set(deployment.customers) - touched.customers),
         "racks": sorted(racks - touched.racks),
-        "servers named by no statement": sorted({one.name for one in of.fleet} - named),
-        "server states": [one for one in STATES if one not in touched.states],
-        "outcomes of legs": [one for one in OUTCOMES if one not in touched.outcomes],
-        "ends": [one for one in ENDS if one not in touched.ends],
+        "servers named by no statement": sorted({server.name for server in deployment.fleet} - named_servers),
+        "server states": [state for state in STATES if state not in touched.states],
+        "outcomes of legs": [outcome for outcome in OUTCOMES if outcome not in touched.outcomes],
+        "ends": [end for end in GENERATION_ENDS if end not in touched.ends],
     }
