--- a/stackpitch/expect/dry_run.py
+++ b/stackpitch/expect/dry_run.py
@@ -609,7 +609,7 @@
             if trace.longest_idle_hold > max_idle_hold:
                 self._add_violation(
                     "pinned",
-                    f"what {gen.product.name} holds is held {trace.longest_idle_hold / 10:.0f} ms with no leg in flight",
+                    f"what {gen.product.name} holds stays held {trace.longest_idle_hold / 10:.0f} ms with no leg in flight",
                 )
             if trace.end == "departed":
                 continue
--- a/tests/platform_expect.py
+++ b/tests/platform_expect.py
@@ -1,4 +1,4 @@
-"""What a text may expect of the stage; see `platform_stage`."""
+"""Expectations of platform scenarios: a line `> word ...` calls `expect_word`; see `platform_stage`."""
 
 import gc
 import re
@@ -9,24 +9,24 @@
 
 
 class Expectations:
-    """A part of the stage."""
+    """Mixin of `Stage` with the checks that scenarios can make."""
 
-    def until(self, ms: int, what: Any, text: Any) -> Coro[None]:
+    def until(self, ms: int, condition: Any, message: Any) -> Coro[None]:
         for _ in range(ms // 2 + 1):
-            if what():
+            if condition():
                 return
             yield from self.world.sleep(2 * MS)
-        raise AssertionError(text() if callable(text) else text)
+        raise AssertionError(message() if callable(message) else message)
 
     def ended(self, name: str, how: str, again: str | None = None) -> Coro[None]:
         client = self.clients[name]
-        yield from self.until(12_000, lambda: client.end is not None, f"no end came, {client.words} words")
+        yield from self.until(12_000, lambda: client.end is not None, f"not over yet, {client.words} words")
         assert client.end == how, f"ended as {client.end!r}"
-        assert again is None or (client.again or "none") == again, f"come again: {client.again!r}"
+        assert again is None or (client.again or "none") == again, f"retry after: {client.again!r}"
 
     def expect_within(self, ms: str) -> None:
-        took = (max(one.ended for one in self.clients.values()) - self.asked_at) // MS
-        assert took <= int(ms), f"it took {took} ms"
+        took = (max(client.ended for client in self.clients.values()) - self.asked_at) // MS
+        assert took <= int(ms), f"took {took} ms"
 
     def expect_ready_within(self, ms: str) -> None:
         assert self.ready_after <= int(ms) * MS, f"it took {self.ready_after // MS} ms"
@@ -36,10 +36,10 @@
 
     def called(self, method: str, name: str) -> list[str]:
         wanted = (method, self.clients[name].id)
-        return [one.name for one in self.servers.values() for call in one.calls if call == wanted]
+        return [server.name for server in self.servers.values() for call in server.calls if call == wanted]
 
     def expect_legs(self, name: str, *servers: str) -> None:
-        found = [one for one in self.called("POST", name)]
+        found = [server for server in self.called("POST", name)]
         assert sorted(found) == sorted(servers), f"legs at {found}"
 
     def expect_attempts(self, name: str, count: str) -> None:
@@ -47,42 +47,46 @@
 
     def expect_outcomes(self, name: str, *outcomes: str) -> Coro[None]:
         number = self.clients[name].id
-        yield from self.until(3000, lambda: number in self.outcomes, "it is not over")
+        yield from self.until(3000, lambda: number in self.outcomes, "not over yet")
         assert self.outcomes[number] == list(outcomes), f"outcomes {self.outcomes[number]}"
 
     def expect_passed_on(self, name: str, *fields: str) -> None:
-        """With every attempt; `-name`: that field with none."""
-        heads = [
-            head for server in self.servers.values() for head in server.fields.get(self.clients[name].id, [])
+        """Every attempt carried these fields; `-name`: none carried that field."""
+        attempts = [
+            attempt
+            for server in self.servers.values()
+            for attempt in server.fields.get(self.clients[name].id, [])
         ]
-        assert heads, "no attempt"
-        for head in heads:
-            for field, _, value in (one.partition(":") for one in fields):
+        assert attempts, "no attempt was made"
+        for attempt in attempts:
+            for field, _, value in (text.partition(":") for text in fields):
                 wanted = None if field.startswith("-") else value
-                assert head.get(field.removeprefix("-")) == wanted, f"{head}"
+                assert attempt.get(field.removeprefix("-")) == wanted, f"{attempt}"
 
     def expect_deadlines(self, name: str, count: str, slack_ms: str) -> None:
         client = self.clients[name]
-        found = [one for server in self.servers.values() for one in server.deadlines.get(client.id, [])]
-        assert len(found) == int(count), f"{len(found)} attempts"
-        for told, when in found:
-            left = client.limit - (when - client.asked) // MS
-            assert told <= left + int(slack_ms), f"told {told} ms, {left} are left"
+        deadlines = [
+            deadline for server in self.servers.values() for deadline in server.deadlines.get(client.id, [])
+        ]
+        assert len(deadlines) == int(count), f"{len(deadlines)} attempts"
+        for sent_ms, received_at in deadlines:
+            left = client.limit - (received_at - client.asked) // MS
+            assert sent_ms <= left + int(slack_ms), f"deadline of {sent_ms} ms sent, {left} ms left"
 
     def expect_half_written(self, name: str, role: str, count: str, or_none: str = "") -> None:
-        mark = f"req-id: {self.clients[name].id}".encode()
+        id_field = f"req-id: {self.clients[name].id}".encode()
         found = [
-            (one.name[0], came[1])
-            for one in self.servers.values()
-            for came in one.came
-            if mark in came[0] and not came[2]
+            (server.name[0], request[1])
+            for server in self.servers.values()
+            for request in server.came
+            if id_field in request[0] and not request[2]
         ]
         assert found == [(role, int(count))] or (or_none and not found), f"{found}"
 
     def expect_served_or_refused(self, name: str) -> Coro[None]:
-        """A new connection owes an answer to whatever came on it; a request that was refused so is not sent on."""
+        """A request on a new connection is answered; one that is refused with 503 is not forwarded."""
         client = self.clients[name]
-        yield from self.until(3000, lambda: client.end is not None, "no end came")
+        yield from self.until(3000, lambda: client.end is not None, "not over yet")
         assert client.end in ("streamed", "503"), f"ended as {client.end!r}: {client.why}"
         assert client.end == "streamed" or not self.called("POST", name), (
             f"sent on to {self.called('POST', name)}"
@@ -90,25 +94,30 @@
 
     def expect_answered_or_unread(self, name: str) -> Coro[None]:
         client = self.clients[name]
-        yield from self.until(3000, lambda: client.end is not None, "no end came")
+        yield from self.until(3000, lambda: client.end is not None, "not over yet")
         if client.end == "streamed":
-            assert client.last or not self.door.stopping, "the client was not told that its connection ends"
+            assert client.last or not self.door.stopping, (
+                "the answer did not announce that its connection closes"
+            )
         else:
             assert client.end == "closed", f"ended as {client.end!r}"
-            assert client.why == "closed", f"it was no clean end: {client.why}"
+            assert client.why == "closed", f"no clean end: {client.why}"
             assert not self.called("POST", name), f"sent on to {self.called('POST', name)}"
 
     def expect_clean(self, name: str) -> None:
         assert self.clients[name].why == "closed", f"no clean end: {self.clients[name].why}"
 
     def expect_held(self, name: str, server: str) -> None:
-        assert self.called("HOLD", name) == [server], f"asked of {self.called('HOLD', name)}"
+        assert self.called("HOLD", name) == [server], f"hold asked of {self.called('HOLD', name)}"
 
     def expect_released(self, name: str, *servers: str) -> Coro[None]:
-        """By one server, of these if any are named; `twice`: also while an attempt was out that may have arrived, or
-        again for a read that may have ended after it."""
+        """Released at one server, one of these if any are named.
+
+        `twice`: released two times, as the first came while an attempt that may have arrived was in flight, or as a
+        read may have ended after it.
+        """
         times = 1 + ("twice" in servers)
-        allowed = [one for one in servers if one != "twice"]
+        allowed = [server for server in servers if server != "twice"]
         yield from self.until(800, lambda: len(self.called("DELETE", name)) >= times, "not released")
         found = self.called("DELETE", name)
         assert len(found) == times, f"released at {found}"
@@ -122,54 +131,61 @@
         assert not self.clients[name].after, f"{self.clients[name].after[:60]!r} came"
 
     def expect_exit(self, code: str) -> Coro[None]:
-        yield from self.until(12_000, lambda: self.child.code() is not None, "it runs on")
+        yield from self.until(12_000, lambda: self.child.code() is not None, "still running")
         assert self.child.code() == int(code), f"exit {self.child.code()}"
 
-    def seat(self, name: str) -> Any:
+    def server_state(self, name: str) -> Any:
         return next(
-            seat for server, seat in self.host.brain.fleet.server_states.items() if server.name == name
+            state for server, state in self.host.brain.fleet.server_states.items() if server.name == name
         )
 
     def expect_believes(self, name: str, held: str) -> None:
-        """What others hold and we hold together, as the last report had it."""
-        seat, server = self.seat(name), next(one for one in self.host.roster.addresses if one.name == name)
-        assert isinstance(server, Server) and abs(seat.peer_share - float(held)) < 0.02, (
-            f"others hold {seat.peer_share:.3f}"
+        """The share that other gateways hold at a server, computed from its last load report."""
+        state, server = (
+            self.server_state(name),
+            next(entry for entry in self.host.roster.addresses if entry.name == name),
+        )
+        assert isinstance(server, Server) and abs(state.peer_share - float(held)) < 0.02, (
+            f"others hold {state.peer_share:.3f}"
         )
 
     def expect_servers(self, *names: str, seats: str | None = None) -> None:
-        """`seats`: those that the module in force knows, where one from before has others."""
-        found = [one.name for one in self.host.roster.addresses]
-        known = [one.name for one in self.host.brain.fleet.server_states]
+        """`seats`: the servers that the current module knows, if an earlier module knows others."""
+        found = [server.name for server in self.host.roster.addresses]
+        known = [server.name for server in self.host.brain.fleet.server_states]
         wanted = sorted(names) if seats is None else seats.split(",")
         assert sorted(found) == sorted(names) and sorted(known) == wanted, f"servers {found}, seats {known}"
 
     def expect_told(self, ms: str, *names: str) -> Coro[None]:
-        def found() -> list[str]:
+        def ready_servers() -> list[str]:
             return sorted(
-                one.name + "*" * (one.started is not None)
-                for one in self.host.roster.addresses
-                if one.state == "ready"
+                server.name + "*" * (server.started is not None)
+                for server in self.host.roster.addresses
+                if server.state == "ready"
             )
 
-        yield from self.until(20_000, lambda: found() == sorted(names), lambda: f"servers {found()}")
+        yield from self.until(
+            20_000, lambda: ready_servers() == sorted(names), lambda: f"servers {ready_servers()}"
+        )
         took = (self.world.now() - self.told_at) // MS
-        assert took <= int(ms), f"told after {took} ms"
+        assert took <= int(ms), f"learned after {took} ms"
 
     def expect_said(self, event: str, count: str, *words: str) -> None:
-        word = " ".join(words)
-        found = [str(fields) for one, fields in self.lines if one == event]
-        assert len(found) == int(count) and (not found or word in found[-1]), f"{found}"
+        text = " ".join(words)
+        found = [str(fields) for logged, fields in self.lines if logged == event]
+        assert len(found) == int(count) and (not found or text in found[-1]), f"{found}"
 
     def expect_called(self, most: str) -> None:
         assert self.calls <= int(most), f"{self.calls} calls"
 
     def expect_buffered(self, most: str) -> None:
-        found = [ask.client.buffered for ask in self.host.requests.values() if ask.client is not None]
-        assert found and 0 < max(found) <= int(most), f"{found} bytes wait"
+        buffered = [
+            request.client.buffered for request in self.host.requests.values() if request.client is not None
+        ]
+        assert buffered and 0 < max(buffered) <= int(most), f"{buffered} bytes buffered"
 
     def expect_sockets(self, most: str) -> None:
-        found = self.door.connections + sum(one.open for one in self.host.pools.values())
+        found = self.door.connections + sum(pool.open for pool in self.host.pools.values())
         assert found <= int(most), f"{found} open"
 
     def expect_open(self, _: str, count: str) -> None:
@@ -192,27 +208,27 @@
         assert sum(sizes.values()) <= int(most), str(sizes)
 
     def expect_deadline(self, name: str, ms: str) -> None:
-        told = [int(fields["req-deadline-ms"]) for fields, _ in self.got(name)]
-        assert told and int(ms) - 120 <= max(told) <= int(ms), f"told {told}"
+        deadlines = [int(fields["req-deadline-ms"]) for fields, _ in self.got(name)]
+        assert deadlines and int(ms) - 120 <= max(deadlines) <= int(ms), f"deadlines {deadlines}"
 
     def got(self, name: str) -> list[tuple[dict[str, str], bytes]]:
-        """Fields and the beginning of the body of each of its attempts."""
+        """Header fields and the received part of the body of each attempt."""
         number, found = self.clients[name].id, []
-        for came, _, _ in (one for server in self.servers.values() for one in server.came):
-            head, _, body = came.partition(b"\r\n\r\n")
+        for request, _, _ in (received for server in self.servers.values() for received in server.came):
+            head, _, body = request.partition(b"\r\n\r\n")
             fields = dict(line.split(": ", 1) for line in head.decode("latin-1").split("\r\n")[1:])
             if fields.get("req-id") == number:
                 found.append((fields, body))
         return found
 
     def expect_sent_on(self, name: str) -> None:
-        own = self.clients[name].sent
+        client_fields = self.clients[name].sent
         for fields, body in self.got(name):
-            of_attempt = {"host", "req-deadline-ms", "content-type", "content-length"}
-            assert {field: value for field, value in fields.items() if field not in of_attempt} == own, (
-                f"{fields}, sent {own}"
-            )
-            assert of_attempt <= set(fields), f"{fields}"
+            attempt_fields = {"host", "req-deadline-ms", "content-type", "content-length"}
+            assert {
+                field: value for field, value in fields.items() if field not in attempt_fields
+            } == client_fields, f"{fields}, sent {client_fields}"
+            assert attempt_fields <= set(fields), f"{fields}"
             assert self.bodies[self.clients[name].id].startswith(body), f"{body!r}"
 
     def expect_fields(self, name: str, *fields: str) -> None:
@@ -229,18 +245,18 @@
         )
 
     def expect_facts(self, name: str, **facts: str) -> None:
-        gen = next((one for one in self.host.requests if one.name == self.clients[name].id), None)
-        assert gen is not None, "it is not under way"
-        of, customer = gen.product, gen.customer
+        gen = next((request for request in self.host.requests if request.name == self.clients[name].id), None)
+        assert gen is not None, "not in flight"
+        product, customer = gen.product, gen.customer
         found = {
-            "product": of.name,
-            "effect": of.effect,
-            "scope": of.scope,
-            "memory": of.dedup_window // MS,
-            "slo": of.slo_time // MS,
-            "gap": of.token_gap // MS,
-            "limit": of.time_limit // MS,
-            "worth": of.revenue,
+            "product": product.name,
+            "effect": product.effect,
+            "scope": product.scope,
+            "memory": product.dedup_window // MS,
+            "slo": product.slo_time // MS,
+            "gap": product.token_gap // MS,
+            "limit": product.time_limit // MS,
+            "worth": product.revenue,
             "owner": customer and customer.name,
             "quota": customer and customer.quota_per_s,
             "share": customer and customer.share,
@@ -250,20 +266,20 @@
 
     def expect_module(self, how: str) -> None:
         assert (self.modules[-1]() is self.host.brain) is (how == "kept"), (
-            "it is another" if how == "kept" else "it is the same"
+            "another module" if how == "kept" else "the same module"
         )
 
     def expect_modules(self, count: str) -> None:
-        used = self.host.brains()
-        assert len(used) == int(count), f"{len(used)} modules"
+        in_use = self.host.brains()
+        assert len(in_use) == int(count), f"{len(in_use)} modules"
         gc.collect()
-        left = [one() for one in self.modules if one() is not None and one() not in used]
-        assert not left, f"{len(left)} earlier modules are still held"
+        leaked = [module() for module in self.modules if module() is not None and module() not in in_use]
+        assert not leaked, f"{len(leaked)} earlier modules are still referenced"
 
     def expect_server(self, name: str, role: str, memory: str) -> None:
-        one = self.host.roster.servers[name]
-        assert (one.role, one.memory_tok) == (role, int(memory)), f"{one.role} {one.memory_tok}"
-        assert one in self.host.brain.fleet.server_states, "the module does not know it"
+        server = self.host.roster.servers[name]
+        assert (server.role, server.memory_tok) == (role, int(memory)), f"{server.role} {server.memory_tok}"
+        assert server in self.host.brain.fleet.server_states, "the module does not know it"
 
     def expect_reused(self, name: str, least: str) -> None:
         pool = self.host.pools[self.host.roster.servers[name]]
@@ -274,10 +290,12 @@
         yield from self.until(
             1500,
             lambda: not host.requests and not host.pending_calls,
-            lambda: f"{len(host.requests)} asks left",
+            lambda: f"{len(host.requests)} requests left",
         )
         yield from self.world.sleep(20 * MS)
         assert not host.brain.held_state.held_since and not host.brain.writer.planned_writers
         assert not host.earlier_settings, "generations of an earlier module are left"
-        assert all(one.open == len(one.idle) for one in host.pools.values()), "a connection is lost"
-        assert host.budget.open == sum(one.open for one in host.pools.values()), "the budget is out"
+        assert all(pool.open == len(pool.idle) for pool in host.pools.values()), "a connection is lost"
+        assert host.budget.open == sum(pool.open for pool in host.pools.values()), (
+            "the connection budget does not match"
+        )
