--- a/stackpitch/membership/bundle.py
+++ b/stackpitch/membership/bundle.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from stackpitch.expect.book import Book
-from stackpitch.expect.deployment import deployment
+from stackpitch.expect.deployment import build_deployment
 from stackpitch.expect.judge import Judge
 from stackpitch.expect.parse import BadStatement, read_page
 from stackpitch.membership.entries import Entry, digest
@@ -143,7 +143,7 @@
         },
         "list",
     )
-    judge = Judge(book, deployment(settings, weighed))
+    judge = Judge(book, build_deployment(settings, weighed))
     names = [name for name, (_, statement) in book.statements.items() if statement.guard]
     return [
         f'{verdict.file}:{verdict.statement.line}: guard "{verdict.statement.name}" {verdict.word()}: {verdict.why()}'
