--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -26,8 +26,8 @@
 from rich.table import Table
 
 from benchmarks.bed import free_port
-from stackpitch.duties.carrier import Duties, Figures
-from stackpitch.duties.carrier.tenure import OwnTenure
+from stackpitch.duties.carrier import Duties, DutiesConfig
+from stackpitch.duties.carrier.tenure import LeaseTenure
 from stackpitch.gateway.admin import Admin
 from stackpitch.loop import MS, SECOND, Coro, Group, RealWorld, World
 from stackpitch.loop.virtual import VirtualWorld
@@ -38,8 +38,8 @@
 )
 
 
-def figures(number: int, gateways: int, voters: int, file: str, ports: Sequence[int]) -> Figures:
-    return Figures(
+def figures(number: int, gateways: int, voters: int, file: str, ports: Sequence[int]) -> DutiesConfig:
+    return DutiesConfig(
         "hall",
         number,
         tuple(("127.0.0.1", ports[one]) for one in range(gateways)),
@@ -55,7 +55,7 @@
     )
 
 
-def gateway(world: World, one: Figures, made: dict[int, Duties]) -> Coro[None]:
+def gateway(world: World, one: DutiesConfig, made: dict[int, Duties]) -> Coro[None]:
     """Duties and their port, and nothing else of a gateway."""
     duties = made[one.number] = Duties(world, QUIET, one)
     listener = world.listen(one.addresses[one.number])
@@ -74,7 +74,7 @@
 def sent(made: dict[int, Duties]) -> Counter[str]:
     total: Counter[str] = Counter()
     for duties in made.values():
-        for (kind, end), count in duties.posts.counts.items():
+        for (kind, end), count in duties.peer_calls.counts.items():
             total[kind] += count
             total["lost"] += count * (end == "lost")
     return total
@@ -85,8 +85,8 @@
         (
             number
             for number, one in made.items()
-            if one.desk.ownings["weights"].candidate.stage == "owner"
-            and one.desk.ownings["weights"].scope is not None
+            if one.receiver.lease_managers["weights"].candidate.stage == "owner"
+            and one.receiver.lease_managers["weights"].scope is not None
         ),
         None,
     )
@@ -290,7 +290,7 @@
     def __init__(self, world: World, size: int, times: int) -> None:
         self.world, self.size, self.times, self.took = world, size, times, list[float]()
 
-    def own(self, tenure: OwnTenure, value: bytes) -> Coro[None]:
+    def own(self, tenure: LeaseTenure, value: bytes) -> Coro[None]:
         for number in range(self.times):
             begun = self.world.now()
             yield from tenure.keep(bytes([number % 256]) * self.size)
--- a/stackpitch/duties/carrier/announcing.py
+++ b/stackpitch/duties/carrier/announcing.py
@@ -3,24 +3,26 @@
 import msgspec
 
 from stackpitch.duties.calls import Answer
-from stackpitch.duties.carrier.figures import Figures
-from stackpitch.duties.carrier.tenure import OwnTenure
-from stackpitch.duties.ownership.pacing import AT_ONCE, Announcing
+from stackpitch.duties.carrier.config import DutiesConfig
+from stackpitch.duties.carrier.tenure import LeaseTenure
+from stackpitch.duties.ownership.pacing import MAX_CONCURRENT_ANNOUNCEMENTS, AnnouncementSchedule
 from stackpitch.duties.work import Work
 from stackpitch.loop import Coro, Group, World
 
 
-def announce(world: World, figures: Figures, tenure: OwnTenure, work: Work | None) -> Coro[None]:
+def announce(world: World, config: DutiesConfig, tenure: LeaseTenure, work: Work | None) -> Coro[None]:
     """Voters first. Then for as long as it owns: those that were not reached soon again, all once in `announce`. `work`:
     told what came with each yes."""
-    rest = [number for number in range(figures.gateways) if number not in figures.voters]
-    pacing = Announcing([*figures.voters, *rest], figures.announce, world.now() + figures.announce)
+    rest = [number for number in range(config.gateways) if number not in config.voters]
+    schedule = AnnouncementSchedule(
+        [*config.voters, *rest], config.announce_period, world.now() + config.announce_period
+    )
     while True:
-        missed = yield from _round(world, tenure, work, pacing.next(world.now()))
-        yield from world.sleep(pacing.told(world.now(), missed))
+        missed = yield from _round(world, tenure, work, schedule.next_targets(world.now()))
+        yield from world.sleep(schedule.record_round(world.now(), missed))
 
 
-def _round(world: World, tenure: OwnTenure, work: Work | None, numbers: list[int]) -> Coro[list[int]]:
+def _round(world: World, tenure: LeaseTenure, work: Work | None, numbers: list[int]) -> Coro[list[int]]:
     """Who was not reached."""
     left, missed = list(reversed(numbers)), list[int]()
 
@@ -35,7 +37,7 @@
 
     def body(group: Group) -> Coro[None]:
         yield from ()
-        for _ in range(min(AT_ONCE, len(numbers))):
+        for _ in range(min(MAX_CONCURRENT_ANNOUNCEMENTS, len(numbers))):
             group.spawn(some(), "announce")
 
     yield from world.group(body)
--- a/stackpitch/duties/carrier/figures.py
+++ b/stackpitch/duties/carrier/config.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class DutiesConfig:
     """From settings; times in ticks. `addresses`: each gateway's admin port by number, our own too."""
 
     fleet: str
@@ -16,10 +16,10 @@
     names: tuple[str, ...]
     file: str
     generation: int
-    lease: Time
-    drift: float
-    call: Time
-    announce: Time
+    lease_duration: Time
+    max_clock_drift: float
+    call_timeout: Time
+    announce_period: Time
     max_calls: int
 
     @property
--- a/stackpitch/duties/carrier/duties.py
+++ b/stackpitch/duties/carrier/duties.py
@@ -5,12 +5,12 @@
 from typing import Any
 
 from stackpitch.duties.calls import LARGEST, Answer
-from stackpitch.duties.carrier.desk import Desk
-from stackpitch.duties.carrier.figures import Figures
+from stackpitch.duties.carrier.config import DutiesConfig
 from stackpitch.duties.carrier.learning import learn
-from stackpitch.duties.carrier.owning import Owning
-from stackpitch.duties.carrier.posts import Posts
-from stackpitch.duties.carrier.voting import Voting
+from stackpitch.duties.carrier.lease_manager import LeaseManager
+from stackpitch.duties.carrier.peer_calls import PeerCalls
+from stackpitch.duties.carrier.receiver import CallReceiver
+from stackpitch.duties.carrier.voter_service import VoterService
 from stackpitch.duties.ownership.fence import Fence
 from stackpitch.duties.work import Work
 from stackpitch.loop import MS, Coro, Group, World
@@ -22,13 +22,13 @@
 
     LARGEST = LARGEST
 
-    def __init__(self, world: World, log: Any, figures: Figures, works: Iterable[Work] = ()) -> None:
-        self.world, self.log, self.figures = world, log, figures
-        self.number, self.gateways = figures.number, figures.gateways
+    def __init__(self, world: World, log: Any, config: DutiesConfig, works: Iterable[Work] = ()) -> None:
+        self.world, self.log, self.config = world, log, config
+        self.number, self.gateways = config.number, config.gateways
         self.fence = Fence()
         self.works = {work.name: work for work in works}
-        self.desk = Desk(log, figures, self.fence, self.works)
-        self.posts = Posts(world, figures, self.desk.heard)
+        self.receiver = CallReceiver(log, config, self.fence, self.works)
+        self.peer_calls = PeerCalls(world, config, self.receiver.handle)
 
     def add(self, work: Work) -> None:
         """Before it runs."""
@@ -38,56 +38,56 @@
         """Runs as long as the gateway does. A fault here ends the duties, never the gateway."""
         try:
             yield from self.world.group(self._body)
-        except Exception as wrong:
+        except Exception as error:
             self.log.exception(
-                "duties_broke", why=str(wrong), meaning="it serves on without duties until restarted"
+                "duties_broke", why=str(error), meaning="it serves on without duties until restarted"
             )
 
     def _body(self, group: Group) -> Coro[None]:
         yield from ()
-        figures, start = self.figures, self.world.unique_id()
-        for duty in figures.names:
-            self.desk.ownings[duty] = Owning(
+        config, start = self.config, self.world.unique_id()
+        for duty in config.names:
+            self.receiver.lease_managers[duty] = LeaseManager(
                 self.world,
                 group,
                 self.log,
-                figures,
+                config,
                 duty,
                 start,
-                self.posts,
+                self.peer_calls,
                 self.fence,
                 self.works.get(duty),
             )
-        if figures.number in figures.voters:
-            self.desk.voting = Voting(self.world, group, self.log, figures, self.posts)
-            group.spawn(self.desk.voting.run(), "voter")
-        group.spawn(learn(self.world, figures, self.posts, self.desk), "learn")
+        if config.number in config.voters:
+            self.receiver.voter_service = VoterService(self.world, group, self.log, config, self.peer_calls)
+            group.spawn(self.receiver.voter_service.run(), "voter")
+        group.spawn(learn(self.world, config, self.peer_calls, self.receiver), "learn")
         for name, work in self.works.items():
             group.spawn(work.serve(), name)
 
     def leave(self) -> Coro[None]:
         """Hands over what is owned; returns once the voters know, or the call's limit has passed."""
-        owned = [one for one in self.desk.ownings.values() if one.candidate.stage != "idle"]
-        for one in self.desk.ownings.values():
+        owned = [one for one in self.receiver.lease_managers.values() if one.candidate.stage != "idle"]
+        for one in self.receiver.lease_managers.values():
             one.leave()
         if owned:
-            with self.world.limit(self.figures.call):
-                while self.posts.turns.in_use or any(one.scope is not None for one in owned):
+            with self.world.limit(self.config.call_timeout):
+                while self.peer_calls.turns.in_use or any(one.scope is not None for one in owned):
                     yield from self.world.sleep(5 * MS)
 
     def take(self, body: bytes) -> Coro[tuple[int, bytes]]:
-        return (yield from self.desk.take(body))
+        return (yield from self.receiver.take(body))
 
     def counts(self) -> Counter[tuple[str, str]]:
         """Calls by kind and what became of them; dropped ones by why."""
-        return self.posts.counts + Counter(
-            {("dropped", why): count for why, count in self.desk.dropped.items()}
+        return self.peer_calls.counts + Counter(
+            {("dropped", why): count for why, count in self.receiver.dropped.items()}
         )
 
     # For works.
 
     def owner(self, duty: str) -> int | None:
-        return self.desk.owners.get(duty)
+        return self.receiver.owners.get(duty)
 
     def ask(self, number: int, duty: str, kind: str, body: Any) -> Coro[Answer | None]:
-        return (yield from self.posts.send(number, duty, kind, body=body))
+        return (yield from self.peer_calls.send(number, duty, kind, body=body))
--- a/stackpitch/duties/carrier/learning.py
+++ b/stackpitch/duties/carrier/learning.py
@@ -7,11 +7,11 @@
 import msgspec
 
 from stackpitch.duties.calls import Answer
-from stackpitch.duties.carrier.desk import Desk
-from stackpitch.duties.carrier.figures import Figures
-from stackpitch.duties.carrier.posts import Posts
+from stackpitch.duties.carrier.config import DutiesConfig
+from stackpitch.duties.carrier.peer_calls import PeerCalls
+from stackpitch.duties.carrier.receiver import CallReceiver
 from stackpitch.duties.ownership.joining import State
-from stackpitch.duties.ownership.pacing import LEARN, learn_again
+from stackpitch.duties.ownership.pacing import LEARN_INTERVAL, next_learn_interval
 from stackpitch.duties.ownership.rounds import majority
 from stackpitch.duties.ownership.terms import owner_of
 from stackpitch.loop import Coro, Group, World
@@ -19,31 +19,31 @@
 STATE = msgspec.json.Decoder(State)
 
 
-def learn(world: World, figures: Figures, posts: Posts, desk: Desk) -> Coro[None]:
-    pause = LEARN
+def learn(world: World, config: DutiesConfig, peer_calls: PeerCalls, receiver: CallReceiver) -> Coro[None]:
+    pause = LEARN_INTERVAL
     while True:
         heard: dict[int, State] = {}
-        yield from world.group(lambda group, heard=heard: _round(group, figures, posts, heard))  # type: ignore[misc]
+        yield from world.group(lambda group, heard=heard: _round(group, config, peer_calls, heard))  # type: ignore[misc]
         for state in heard.values():
             for duty, promise in state.promises.items():
                 stamp = promise.kept.stamp
                 if (
-                    duty in figures.names
-                    and stamp.term > desk.fence.known(duty).term
-                    and desk.fence.admits(duty, stamp)
+                    duty in config.names
+                    and stamp.term > receiver.fence.highest_stamp(duty).term
+                    and receiver.fence.admits(duty, stamp)
                 ):
-                    desk.owners[duty] = owner_of(stamp.term)
-                    desk.ownings[duty].outdone(stamp)
-        if len(heard) >= majority(len(figures.voters)):
-            desk.learned = True
+                    receiver.owners[duty] = owner_of(stamp.term)
+                    receiver.lease_managers[duty].outdone(stamp)
+        if len(heard) >= majority(len(config.voters)):
+            receiver.learned = True
             return
         yield from world.sleep(pause)
-        pause = learn_again(pause)
+        pause = next_learn_interval(pause)
 
 
-def _round(group: Group, figures: Figures, posts: Posts, heard: dict[int, State]) -> Coro[None]:
+def _round(group: Group, config: DutiesConfig, peer_calls: PeerCalls, heard: dict[int, State]) -> Coro[None]:
     def one(number: int) -> Coro[None]:
-        answer: Answer | None = yield from posts.send(number, "", "state")
+        answer: Answer | None = yield from peer_calls.send(number, "", "state")
         if answer is not None and answer.yes:
             try:
                 heard[number] = STATE.decode(answer.body)
@@ -51,5 +51,5 @@
                 pass  # as if none had come
 
     yield from ()
-    for number in figures.voters:
+    for number in config.voters:
         group.spawn(one(number), f"learn {number}")
--- a/stackpitch/duties/carrier/desk.py
+++ b/stackpitch/duties/carrier/receiver.py
@@ -6,22 +6,22 @@
 import msgspec
 
 from stackpitch.duties.calls import CALL, ENCODER, FORM, Answer, Call, raw
-from stackpitch.duties.carrier.figures import Figures
-from stackpitch.duties.carrier.owning import Owning
-from stackpitch.duties.carrier.voting import KINDS, Voting
+from stackpitch.duties.carrier.config import DutiesConfig
+from stackpitch.duties.carrier.lease_manager import LeaseManager
+from stackpitch.duties.carrier.voter_service import KINDS, VoterService
 from stackpitch.duties.ownership import terms
 from stackpitch.duties.ownership.fence import Fence
 from stackpitch.duties.work import Work
 from stackpitch.loop import Coro
 
 
-class Desk:
+class CallReceiver:
     """`dropped`: calls by why they were; as many entries as there are reasons. `owners`: of each duty, as last heard."""
 
-    def __init__(self, log: Any, figures: Figures, fence: Fence, works: dict[str, Work]) -> None:
-        self.log, self.figures, self.fence, self.works = log, figures, fence, works
-        self.voting: Voting | None = None
-        self.ownings: dict[str, Owning] = {}
+    def __init__(self, log: Any, config: DutiesConfig, fence: Fence, works: dict[str, Work]) -> None:
+        self.log, self.config, self.fence, self.works = log, config, fence, works
+        self.voter_service: VoterService | None = None
+        self.lease_managers: dict[str, LeaseManager] = {}
         self.owners: dict[str, int] = {}
         self.learned = False  # what terms were in service before this start (`learning`)
         self.dropped: Counter[str] = Counter()
@@ -30,8 +30,8 @@
         """`POST /duty`: status and answer."""
         try:
             call = CALL.decode(body)
-            if (wrong := self._astray(call)) is None:
-                return 200, ENCODER.encode((yield from self.heard(call)))
+            if (wrong := self._reason_to_drop(call)) is None:
+                return 200, ENCODER.encode((yield from self.handle(call)))
         except msgspec.DecodeError:
             wrong = "malformed"
         except Exception as fault:  # in a work: the gateway, and its other duties, go on
@@ -40,32 +40,32 @@
         self.dropped[wrong] += 1
         return 400, msgspec.json.encode({"error": wrong})
 
-    def _astray(self, call: Call) -> str | None:
-        figures = self.figures
+    def _reason_to_drop(self, call: Call) -> str | None:
+        config = self.config
         if call.form != FORM:
             return (
                 f"form {call.form}, this side has {FORM}: update the {'receiver' if call.form > FORM else 'sender'}"
                 if (0 < call.form < 1 << 16)
                 else "malformed"
             )
-        if call.fleet != figures.fleet:
+        if call.fleet != config.fleet:
             return "another fleet"
-        if call.to != figures.number:
+        if call.to != config.number:
             return "for another gateway"
-        if not 0 <= call.sender < figures.gateways or call.sender == figures.number:
+        if not 0 <= call.sender < config.gateways or call.sender == config.number:
             return "unknown sender"
-        if call.duty not in figures.names and (call.kind, call.duty) != ("state", ""):
+        if call.duty not in config.names and (call.kind, call.duty) != ("state", ""):
             return "unknown duty"
         known = (
-            0 <= terms.generation_of(call.stamp.term) < terms.GENERATIONS
+            0 <= terms.generation_of(call.stamp.term) < terms.MAX_GENERATIONS
         )  # a higher one would shut out all that come
-        if not known or terms.owner_of(call.stamp.term) >= figures.gateways:
+        if not known or terms.owner_of(call.stamp.term) >= config.gateways:
             return "malformed"
         return None
 
-    def heard(self, call: Call) -> Coro[Answer]:
+    def handle(self, call: Call) -> Coro[Answer]:
         """A call for this gateway, its own ones too. Raises msgspec.DecodeError on a body that its kind doesn't have."""
-        answer = yield from self._answered(call)
+        answer = yield from self._dispatch(call)
         if answer.word == "older term":
             self.log.warning(
                 "duty",
@@ -73,25 +73,29 @@
                 duty=call.duty,
                 kind=call.kind,
                 sender=call.sender,
-                term=terms.text(call.stamp.term),
-                known=terms.text(answer.stamp.term),
+                term=terms.format_term(call.stamp.term),
+                known=terms.format_term(answer.stamp.term),
             )
         return answer
 
-    def _answered(self, call: Call) -> Coro[Answer]:
+    def _dispatch(self, call: Call) -> Coro[Answer]:
         if call.kind in KINDS or call.kind == "state":
-            return (yield from self.voting.answer(call)) if self.voting is not None else Answer("no voter")
-        owning = self.ownings[call.duty]
+            return (
+                (yield from self.voter_service.answer(call))
+                if self.voter_service is not None
+                else Answer("no voter")
+            )
+        lease_manager = self.lease_managers[call.duty]
         if call.kind == "vacant":
-            return owning.told(call)
+            return lease_manager.on_vacancy(call)
         if call.stamp.term:  # an effect
             if not self.learned:
                 return Answer(
                     "not yet"
                 )  # its sender tries again; voters that are all dead have no owner either
             if not self.fence.admits(call.duty, call.stamp):
-                return Answer("older term", self.fence.known(call.duty))
-            owning.outdone(call.stamp)
+                return Answer("older term", self.fence.highest_stamp(call.duty))
+            lease_manager.outdone(call.stamp)
             self.owners[call.duty] = terms.owner_of(call.stamp.term)
             if call.kind == "owner":
                 work = self.works.get(call.duty)
--- a/stackpitch/duties/ownership/fence.py
+++ b/stackpitch/duties/ownership/fence.py
@@ -21,5 +21,5 @@
             return True
         return stamp == known and stamp.term > 0
 
-    def known(self, duty: str) -> Stamp:
+    def highest_stamp(self, duty: str) -> Stamp:
         return self.highest.get(duty, Stamp())
--- a/stackpitch/duties/ownership/joining.py
+++ b/stackpitch/duties/ownership/joining.py
@@ -12,12 +12,12 @@
 
 from stackpitch.duties.ownership.rounds import majority
 from stackpitch.duties.ownership.terms import generation_of
-from stackpitch.duties.ownership.voter import Promise
+from stackpitch.duties.ownership.voting_replica import Promise
 from stackpitch.duties.record.register import newest
 
 # A file that is filled anew counts on from so far above what others heard of the one before it. From 0 it would be taken for
 # an older copy at each start, and a copy of the one before it for the newer.
-LIFE = 1 << 20
+SERIAL_GAP = 1 << 20
 
 
 class State(msgspec.Struct, frozen=True):
@@ -37,27 +37,28 @@
     """`word`: "vote" (with the promises to begin from), "learn" (the file is older), "lost" (an operator's word is wanted),
     or "wait"; and why."""
 
-    word: str
-    why: str = ""
+    outcome: str
+    reason: str = ""
     promises: dict[str, Promise] | None = None
     serial: int = 0  # from which a file that is filled anew counts on
 
 
-def merged(found: list[dict[str, Promise]]) -> dict[str, Promise]:
+def merge_promises(promise_sets: list[dict[str, Promise]]) -> dict[str, Promise]:
     """Of each duty the highest promise and the newest record."""
-    duties = sorted({duty for one in found for duty in one})
+    duties = sorted({duty for one in promise_sets for duty in one})
     return {
         duty: Promise(
             max(
-                (one[duty].stamp for one in found if duty in one), key=lambda stamp: (stamp.term, stamp.start)
+                (one[duty].stamp for one in promise_sets if duty in one),
+                key=lambda stamp: (stamp.term, stamp.start),
             ),
-            newest([one[duty].kept for one in found if duty in one]),
+            newest([one[duty].kept for one in promise_sets if duty in one]),
         )
         for duty in duties
     }
 
 
-def virgin(state: State) -> bool:
+def has_granted_nothing(state: State) -> bool:
     """Has voted for nobody yet in its life or generation, so that nobody can have been granted anything with its vote."""
     return state.empty or not any(
         generation_of(one.stamp.term) >= state.generation for one in state.promises.values()
@@ -65,29 +66,29 @@
 
 
 def decide(
-    voters: tuple[int, ...], me: int, generation: int, mine: State, heard: dict[int, State]
+    voters: tuple[int, ...], own_number: int, generation: int, own: State, answers: dict[int, State]
 ) -> Decision:
     """`heard`: the other voters' answers so far, by number; those of another generation don't count."""
     others = {
         number: state
-        for number, state in heard.items()
-        if number != me and number in voters and state.generation == generation
+        for number, state in answers.items()
+        if number != own_number and number in voters and state.generation == generation
     }
     needed, known = majority(len(voters)), max((state.seen for state in others.values()), default=0)
-    if not mine.empty:
-        if known > mine.serial:
-            return Decision("learn", f"others heard {known} writes of it, it holds {mine.serial}")
+    if not own.empty:
+        if known > own.serial:
+            return Decision("learn", f"others heard {known} writes of it, it holds {own.serial}")
         if len(others) >= needed - 1:
-            return Decision("vote", promises=mine.promises)
+            return Decision("vote", promises=own.promises)
         return Decision("wait", f"{len(others)} of {needed - 1} other voters answered")
     joined = [state.promises for state in others.values() if state.joined]
     if len(joined) >= needed:
-        return Decision("vote", promises=merged(joined), serial=known + LIFE)
-    if len(others) == len(voters) - 1 and all(virgin(state) for state in others.values()):
+        return Decision("vote", promises=merge_promises(joined), serial=known + SERIAL_GAP)
+    if len(others) == len(voters) - 1 and all(has_granted_nothing(state) for state in others.values()):
         return Decision(
             "vote",
-            promises=merged([mine.promises, *(state.promises for state in others.values())]),
-            serial=known + LIFE if known else 0,
+            promises=merge_promises([own.promises, *(state.promises for state in others.values())]),
+            serial=known + SERIAL_GAP if known else 0,
         )
     if len(others) == len(voters) - 1 and sum(one.empty for one in others.values()) + 1 >= needed:
         return Decision(
--- a/stackpitch/duties/ownership/lease.py
+++ b/stackpitch/duties/ownership/lease.py
@@ -7,6 +7,6 @@
 from stackpitch.loop import Time
 
 
-def voters_time(lease: Time, drift: float) -> Time:
+def voter_lease_duration(lease: Time, drift: float) -> Time:
     """How long a voter keeps a lease of an owner that counts `lease`; a tick more on each side for rounding."""
     return int(lease * (1 + drift) / (1 - drift)) + 3
--- a/stackpitch/duties/ownership/pacing.py
+++ b/stackpitch/duties/ownership/pacing.py
@@ -1,60 +1,68 @@
-"""How long is waited between tries, and how much is done at once. Whom a voter tells of a vacancy, and when: `vacancy`."""
+"""Retry intervals and concurrency limits of coordinated tasks, and the schedule of an owner's announcements.
+
+`vacancy` decides which candidates a voting replica notifies of a vacancy, and when.
+"""
 
 from dataclasses import dataclass, field
 from zlib import crc32
 
 from stackpitch.loop import MS, SECOND, Time
 
-JOIN: Time = (
-    200 * MS
-)  # between two rounds of a voter that starts: some tens of them within the lease that it keeps quiet
-ROUND: Time = (
-    100 * MS
-)  # after an owner's round that no majority answered; its lease bounds how many there are
-SPLIT: Time = (
-    150 * MS
-)  # within which a candidate that lost a campaign after its pre-vote begins none: some campaigns long
-REST: Time = 10 * SECOND  # after work that broke, in which this gateway leaves the duty to others
-LEARN: Time = (
-    300 * MS
-)  # between two rounds of a gateway that learns the terms in service; doubles up to `LEARN_LONGEST`
-LEARN_LONGEST: Time = 10 * SECOND  # a fleet without its voters is not asked all the time
-ANNOUNCE: Time = 500 * MS  # before those that were not reached are told once more; doubles up to the period
-AT_ONCE = 8  # announcements under way from one owner: 1,024 gateways are told in some turns, and none crowds out renewals
+# Between two rounds of a voting replica that is joining: some tens of rounds fit in the lease duration for
+# which it grants nothing after a start.
+JOIN_INTERVAL: Time = 200 * MS
+# After an owner's round that no majority answered; the lease bounds how many such rounds there are.
+ROUND_RETRY_DELAY: Time = 100 * MS
+# The longest back-off of a candidate that lost a campaign after winning its pre-vote: some campaigns long.
+MAX_SPLIT_VOTE_BACKOFF: Time = 150 * MS
+# After the duty's work failed: for this long the gateway leaves the duty to others.
+FAILURE_BACKOFF: Time = 10 * SECOND
+# Between two rounds of a gateway that learns the terms in service; doubles up to `MAX_LEARN_INTERVAL`.
+LEARN_INTERVAL: Time = 300 * MS
+MAX_LEARN_INTERVAL: Time = 10 * SECOND  # bounds the calls of a fleet whose voting replicas are all down
+# Before unreached gateways are notified again; doubles up to the announcement period.
+ANNOUNCE_RETRY_DELAY: Time = 500 * MS
+# Per owner: 1,024 gateways are notified in batches, so that announcements don't delay lease renewals.
+MAX_CONCURRENT_ANNOUNCEMENTS = 8
 
 
-def split_rest(duty: str, number: int, count: int) -> Time:
-    """After the `count`th campaign that was split: not the same for two candidates, nor for one twice."""
-    return crc32(f"{duty} {number} {count}".encode()) % SPLIT
+def split_vote_backoff(duty: str, number: int, count: int) -> Time:
+    """The back-off after the `count`th split vote, in ticks; differs between candidates and between attempts."""
+    return crc32(f"{duty} {number} {count}".encode()) % MAX_SPLIT_VOTE_BACKOFF
 
 
-def learn_again(pause: Time) -> Time:
-    """The next pause after this one."""
-    return min(2 * pause, LEARN_LONGEST)
+def next_learn_interval(pause: Time) -> Time:
+    """The interval that follows `pause`, in ticks: exponential, bounded by `MAX_LEARN_INTERVAL`."""
+    return min(2 * pause, MAX_LEARN_INTERVAL)
 
 
 @dataclass(slots=True)
-class Announcing:
-    """Whom an owner tells next that it is there: everybody once in a period, those that were not reached soon again."""
+class AnnouncementSchedule:
+    """Whom an owner tells next that it is there: gateways once in a period, those that were not reached soon again."""
 
-    everybody: list[int]
+    gateways: list[int]
     period: Time
-    due: Time  # for everybody
-    wanted: list[int] = field(init=False)
-    pause: Time = ANNOUNCE
+    due: Time  # for gateways
+    targets: list[int] = field(init=False)
+    retry_delay: Time = ANNOUNCE_RETRY_DELAY
 
     def __post_init__(self) -> None:
-        self.wanted = list(self.everybody)
+        self.targets = list(self.gateways)
 
-    def told(self, now: Time, missed: list[int]) -> Time:
-        """After a round that didn't reach `missed`; how long to wait before `next`."""
-        self.wanted = missed
+    def record_round(self, now: Time, missed: list[int]) -> Time:
+        """Records that the last round didn't reach `missed`; returns the wait before the next round, in ticks."""
+        self.targets = missed
         if not missed:
-            return max(ANNOUNCE, self.due - now)
-        wait, self.pause = min(self.pause, self.period), min(2 * self.pause, self.period)
+            return max(ANNOUNCE_RETRY_DELAY, self.due - now)
+        wait, self.retry_delay = min(self.retry_delay, self.period), min(2 * self.retry_delay, self.period)
         return wait
 
-    def next(self, now: Time) -> list[int]:
+    def next_targets(self, now: Time) -> list[int]:
+        """The gateways to announce to now; all of them once a period has passed."""
         if now >= self.due:
-            self.wanted, self.pause, self.due = list(self.everybody), ANNOUNCE, now + self.period
-        return self.wanted
+            self.targets, self.retry_delay, self.due = (
+                list(self.gateways),
+                ANNOUNCE_RETRY_DELAY,
+                now + self.period,
+            )
+        return self.targets
--- a/stackpitch/duties/ownership/rounds.py
+++ b/stackpitch/duties/ownership/rounds.py
@@ -16,13 +16,13 @@
 
     kind: str
     stamp: Stamp
-    asked: Time  # before the first call left
+    started: Time  # before the first call left
     voters: tuple[int, ...]
     renewal: int = 0  # of a lease: which of its term's, from 1
     yes: dict[int, Answer] = field(default_factory=dict)
     no: dict[int, Answer | None] = field(default_factory=dict)  # None: no answer came
 
-    def heard(self, voter: int, answer: Answer | None) -> None:
+    def record(self, voter: int, answer: Answer | None) -> None:
         """Repeated answers count once; what a voter said first stands."""
         if voter in self.voters and voter not in self.yes and voter not in self.no:
             if answer is not None and answer.yes:
@@ -40,7 +40,7 @@
         return len(self.no) > len(self.voters) - majority(len(self.voters))
 
     @property
-    def highest(self) -> int:
+    def highest_term(self) -> int:
         """The highest term that any answer names."""
         answers = [*self.yes.values(), *(one for one in self.no.values() if one is not None)]
         return max((one.stamp.term for one in answers), default=0)
--- a/stackpitch/duties/ownership/vacancy.py
+++ b/stackpitch/duties/ownership/vacancy.py
@@ -1,7 +1,7 @@
-"""Whom a voter tells that a duty is vacant, and when: a few at first, more while nobody takes it.
+"""Which candidates a voting replica notifies of a vacant duty, and when: few at first, more while it stays vacant.
 
-Candidates wait to be told, so an idle fleet is silent and a vacancy starts one campaign, not one a gateway. The order is the
-same at all voters, and another one for each duty, which spreads them.
+Candidates wait for a notification, so an idle fleet sends nothing and a vacancy starts one campaign rather than
+one per gateway. All voting replicas use the same order; it differs between duties, which spreads them.
 """
 
 from dataclasses import dataclass
@@ -9,49 +9,65 @@
 
 from stackpitch.loop import MS, Time
 
-STEP: Time = 1200  # between two steps; a campaign takes two turns to the voters and back
-APART: Time = (
-    30 * MS
-)  # between candidates told in one step: the first one's campaign is over before the next begins
-MOST = (
-    16  # told in one step: with all steps together a vacancy costs the fleet some calls a gateway, spread out
-)
-SLOWEST: Time = 20_000  # between two steps once everybody has been told in vain, and told again
+STEP_INTERVAL: Time = 1200  # ticks between two steps; a campaign takes two round trips to the voting replicas
+# Between candidates notified in one step, so that the first one's campaign ends before the next begins.
+CANDIDATE_SPACING: Time = 30 * MS
+# Candidates notified in one step: over all steps a vacancy costs the fleet some calls per gateway, spread out.
+MAX_PER_STEP = 16
+MAX_STEP_INTERVAL: Time = 20_000  # ticks; reached once all candidates have been notified without success
 
 
-def order(duty: str, candidates: int) -> list[int]:
+def candidate_order(duty: str, candidates: int) -> list[int]:
+    """The candidates' numbers in the order in which a vacancy of `duty` is offered to them."""
     return sorted(range(candidates), key=lambda number: (crc32(f"{duty} {number}".encode()), number))
 
 
 @dataclass(slots=True)
-class Vacancy:
-    """One duty's, at one voter. `last`: who had it; told last, as a lease that ran out speaks against it."""
+class VacancyNotifier:
+    """The notifications of one duty's vacancy by one voting replica.
 
-    order: list[int]
-    last: int | None = None
-    at: int = 0  # place in the order
-    count: int = 1  # to be told next
+    `previous_holder` is notified last, as its lease ran out.
+    """
+
+    candidates: list[int]
+    previous_holder: int | None = None
+    position: int = 0  # in the list of candidates
+    batch_size: int = 1  # of the next step
     due: Time = 0
-    step: Time = STEP
+    interval: Time = STEP_INTERVAL
 
-    def begin(self, now: Time, last: int | None) -> None:
-        self.last, self.at, self.count, self.due, self.step = last, 0, 1, now, STEP
+    def start(self, now: Time, previous_holder: int | None) -> None:
+        """Begins a new vacancy, with the first candidate due now."""
+        self.previous_holder, self.position, self.batch_size, self.due, self.interval = (
+            previous_holder,
+            0,
+            1,
+            now,
+            STEP_INTERVAL,
+        )
 
-    def next(self, now: Time) -> list[int]:
-        """Who is to be told now; goes round for as long as nobody takes the duty."""
+    def next_candidates(self, now: Time) -> list[int]:
+        """The candidates to notify now, empty before `due`; starts over while nobody takes the duty."""
         if now < self.due:
             return []
-        others = [one for one in self.order if one != self.last] + ([] if self.last is None else [self.last])
-        told = [others[(self.at + step) % len(others)] for step in range(min(self.count, len(others)))]
-        self.at += len(told)
-        if self.at >= len(others):
-            self.at, self.step = 0, min(2 * self.step, SLOWEST)
-        self.count, self.due = min(2 * self.count, MOST), now + self.step
-        return told
-
-    def hurry(self, now: Time) -> bool:
-        """None of those told is there: the next ones needn't wait, if it is the first way round and not yet crowded."""
-        if self.count >= MOST or self.step > STEP:
+        others = [one for one in self.candidates if one != self.previous_holder] + (
+            [] if self.previous_holder is None else [self.previous_holder]
+        )
+        notified = [
+            others[(self.position + step) % len(others)] for step in range(min(self.batch_size, len(others)))
+        ]
+        self.position += len(notified)
+        if self.position >= len(others):
+            self.position, self.interval = 0, min(2 * self.interval, MAX_STEP_INTERVAL)
+        self.batch_size, self.due = min(2 * self.batch_size, MAX_PER_STEP), now + self.interval
+        return notified
+
+    def skip_wait(self, now: Time) -> bool:
+        """Makes the next step due now, as no notified candidate was reachable; returns whether it did.
+
+        Only during the first pass and below the largest step.
+        """
+        if self.batch_size >= MAX_PER_STEP or self.interval > STEP_INTERVAL:
             return False
         self.due = now
         return True
--- a/stackpitch/gateway/duties.py
+++ b/stackpitch/gateway/duties.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from stackpitch.duties.carrier import Duties, Figures
+from stackpitch.duties.carrier import Duties, DutiesConfig
 from stackpitch.gateway.admin import Admin, StreamHandler
 from stackpitch.gateway.client_listener import ClientListener
 from stackpitch.gateway.host import Host
@@ -14,12 +14,12 @@
 from stackpitch.wire import http
 
 
-def figures(settings: Settings) -> Figures:
+def figures(settings: Settings) -> DutiesConfig:
     one = settings.duties
     addresses = tuple(
         (host, int(port)) for host, _, port in (address.rpartition(":") for address in settings.peers.admin)
     )
-    return Figures(
+    return DutiesConfig(
         one.fleet,
         settings.module.number,
         addresses,
--- a/stackpitch/rehearse/broken/owners.py
+++ b/stackpitch/rehearse/broken/owners.py
@@ -2,12 +2,12 @@
 
 from stackpitch.durable.log import Log
 from stackpitch.duties.calls import Answer, Call, Stamp
-from stackpitch.duties.carrier import voting
-from stackpitch.duties.carrier.owning import Owning
+from stackpitch.duties.carrier import voter_service
+from stackpitch.duties.carrier.lease_manager import LeaseManager
 from stackpitch.duties.ownership.candidate import Candidate
 from stackpitch.duties.ownership.fence import Fence
 from stackpitch.duties.ownership.joining import Decision, State
-from stackpitch.duties.ownership.voter import Voter
+from stackpitch.duties.ownership.voting_replica import VotingReplica
 from stackpitch.loop import Time
 
 
@@ -26,30 +26,30 @@
     def always(self: Candidate, now: Time) -> bool:
         return self.stage == "owner"
 
-    Candidate.holds = always  # type: ignore[method-assign]
+    Candidate.holds_lease = always  # type: ignore[method-assign]
 
 
 def forgetful() -> None:
     """Voters forget at once to whom they granted a lease."""
 
-    def free(self: Voter, now: Time, duty: str, stamp: Stamp) -> Time:
+    def free(self: VotingReplica, now: Time, duty: str, stamp: Stamp) -> Time:
         return 0
 
-    def vacant(self: Voter, now: Time, duty: str) -> bool:
+    def vacant(self: VotingReplica, now: Time, duty: str) -> bool:
         return True
 
-    Voter.free_in, Voter.vacant = free, vacant  # type: ignore[method-assign]
+    VotingReplica.lease_remaining, VotingReplica.is_vacant = free, vacant  # type: ignore[method-assign]
 
 
 def hasty() -> None:
     """A voter that starts votes at once by what its file holds, however little that is."""
 
     def at_once(
-        voters: tuple[int, ...], me: int, generation: int, mine: State, heard: dict[int, State]
+        voters: tuple[int, ...], own_number: int, generation: int, own: State, answers: dict[int, State]
     ) -> Decision:
-        return Decision("vote", promises=mine.promises)
+        return Decision("vote", promises=own.promises)
 
-    voting.decide = at_once  # type: ignore[attr-defined]
+    voter_service.decide = at_once  # type: ignore[attr-defined]
     restless()
 
 
@@ -59,7 +59,7 @@
     def no_time(lease: Time, drift: float) -> Time:
         return 0
 
-    voting.voters_time = no_time  # type: ignore[attr-defined]
+    voter_service.voter_lease_duration = no_time  # type: ignore[attr-defined]
 
 
 def unsynced() -> None:
@@ -75,7 +75,7 @@
 def ownerless() -> None:
     """Nobody takes a duty that is vacant."""
 
-    def no(self: Owning, call: Call) -> Answer:
+    def no(self: LeaseManager, call: Call) -> Answer:
         return Answer("not now")
 
-    Owning.told = no  # type: ignore[method-assign]
+    LeaseManager.on_vacancy = no  # type: ignore[method-assign]
--- a/stackpitch/rehearse/exploring/runners.py
+++ b/stackpitch/rehearse/exploring/runners.py
@@ -18,8 +18,8 @@
     runner = state.runners[number]
     voters = tuple(range(len(state.seats)))
     made = Candidate(number, runner.start, 0, voters, LEASE)
-    made.stage, made.stamp, made.until = runner.stage, stamp(runner.stamp), NOW + runner.until
-    made.highest = runner.stamp[0]
+    made.stage, made.stamp, made.lease_until = runner.stage, stamp(runner.stamp), NOW + runner.until
+    made.highest_term = runner.stamp[0]
     return made
 
 
@@ -29,7 +29,7 @@
     for voter, seat in enumerate(state.seats):
         for said in seat.counted:
             if (said.candidate, said.round) == (number, which):
-                made.heard(voter, yes(said))
+                made.record(voter, yes(said))
     return made
 
 
@@ -53,11 +53,11 @@
 def campaigns(state: State, number: int, known: int) -> State:
     """Told by a voter of the duty's vacancy. The pre-vote is taken as won: that may only add to what can happen."""
     candidate, runner = real(state, number), state.runners[number]
-    candidate.highest = max(candidate.highest, known)
+    candidate.highest_term = max(candidate.highest_term, known)
     asked = candidate.campaign(NOW)
     assert asked is not None
     for voter in asked.voters:
-        then = candidate.heard(NOW, asked, voter, Answer("yes"))
+        then = candidate.record_answer(NOW, asked, voter, Answer("yes"))
         if then is not None:
             break
     state = put(
@@ -82,7 +82,7 @@
 
 def leaves(state: State, number: int) -> State:
     candidate, runner = real(state, number), state.runners[number]
-    candidate.leave(NOW, "")
+    candidate.step_down(NOW, "")
     state = asks(state, number, "release")
     return put(state, number, runner._replace(stage=candidate.stage, until=0, rounds=(), phase=""))
 
@@ -113,15 +113,15 @@
     if kind == "lease":
         candidate = real(state, number)
         if candidate.stage == "lease":
-            candidate.round = asked
+            candidate.pending_round = asked
         if "late lease" in bugs:
-            asked.asked = NOW
-        candidate.heard(NOW, asked, voter, yes(said))
-        runner = runner._replace(stage=candidate.stage, until=max(0, candidate.until - NOW))
+            asked.started = NOW
+        candidate.record_answer(NOW, asked, voter, yes(said))
+        runner = runner._replace(stage=candidate.stage, until=max(0, candidate.lease_until - NOW))
         if candidate.stage == "owner" and state.runners[number].stage != "owner":
             return asks(put(state, number, runner._replace(phase="read")), number, "read")
         return put(state, number, runner)
-    asked.heard(voter, yes(said))
+    asked.record(voter, yes(said))
     if not asked.won or before:
         return state
     return _read(state, number, asked, bugs) if kind == "read" else _written(state, number, which)
--- a/stackpitch/rehearse/exploring/search.py
+++ b/stackpitch/rehearse/exploring/search.py
@@ -76,9 +76,9 @@
         if "no fence" in bugs or fence.admits("d", stamp(told)):
             if told[0] < state.fence[0]:
                 raise Breach(
-                    f"an effect under term {terms.text(told[0])} was taken after {terms.text(state.fence[0])}"
+                    f"an effect under term {terms.format_term(told[0])} was taken after {terms.format_term(state.fence[0])}"
                 )
-            yield f"effect under {terms.text(told[0])} is taken", state._replace(fence=told)
+            yield f"effect under {terms.format_term(told[0])} is taken", state._replace(fence=told)
 
 
 def _voters(state: State, bugs: frozenset[str]) -> Iterator[tuple[str, State]]:
@@ -88,7 +88,7 @@
                 got = voters.gets(seat, ask, bugs)
                 if got != seat:
                     yield (
-                        f"voter {voter} gets {ask.kind} of candidate {ask.candidate} under {terms.text(ask.stamp[0])}",
+                        f"voter {voter} gets {ask.kind} of candidate {ask.candidate} under {terms.format_term(ask.stamp[0])}",
                         swapped(state, voter, got),
                     )
             if state.restarts:
@@ -118,7 +118,7 @@
             if runner.left:
                 for known in sorted({seat.promise.stamp[0] for seat in state.seats}):
                     yield (
-                        f"candidate {number} campaigns, knowing {terms.text(known)}",
+                        f"candidate {number} campaigns, knowing {terms.format_term(known)}",
                         runners.campaigns(state, number, known),
                     )
             continue
--- a/stackpitch/rehearse/exploring/voters.py
+++ b/stackpitch/rehearse/exploring/voters.py
@@ -1,17 +1,17 @@
-"""A voter's steps, by the real `Voter` and `decide`."""
+"""A voter's steps, by the real `VotingReplica` and `decide`."""
 
 from functools import cache
 
 from stackpitch.duties.calls import Answer
-from stackpitch.duties.ownership.joining import merged
-from stackpitch.duties.ownership.lease import voters_time
-from stackpitch.duties.ownership.voter import Heard, Promise, Running, Voter
+from stackpitch.duties.ownership.joining import merge_promises
+from stackpitch.duties.ownership.lease import voter_lease_duration
+from stackpitch.duties.ownership.voting_replica import GrantedLease, Promise, RenewalProgress, VotingReplica
 from stackpitch.duties.record.keeping import of
 from stackpitch.duties.record.register import Kept
 from stackpitch.rehearse.exploring.state import LEASE, NONE, NOW, Ask, Paper, Said, Seat, paper, stamp
 
 DUTY = "d"
-QUIET = voters_time(LEASE, 0)
+QUIET = voter_lease_duration(LEASE, 0)
 
 
 def kept(told: Paper) -> Kept:
@@ -22,22 +22,22 @@
     return Promise(stamp(told.stamp), kept(told))
 
 
-def real(seat: Seat) -> Voter:
-    voter = Voter(LEASE, 0, NOW + seat.quiet)
+def real(seat: Seat) -> VotingReplica:
+    voter = VotingReplica(LEASE, 0, NOW + seat.quiet)
     if seat.promise != Paper():
         voter.promises[DUTY] = promise(seat.promise)
     if seat.running is not None:
-        voter.running[DUTY] = Running(stamp(seat.running[0]), NOW + seat.running[1])
+        voter.leases[DUTY] = GrantedLease(stamp(seat.running[0]), NOW + seat.running[1])
     if seat.heard[0] != NONE:
-        voter.renewals[DUTY] = Heard(stamp(seat.heard[0]), *seat.heard[1:])
+        voter.renewals[DUTY] = RenewalProgress(stamp(seat.heard[0]), *seat.heard[1:])
     return voter
 
 
-def told(seat: Seat, voter: Voter, bugs: frozenset[str]) -> Seat:
+def told(seat: Seat, voter: VotingReplica, bugs: frozenset[str]) -> Seat:
     """The seat after what the voter did. What it promised is on disk before its answer leaves."""
-    after = paper(voter.promised(DUTY))
+    after = paper(voter.promise_of(DUTY))
     disk = after if "no sync" not in bugs or after == seat.promise else seat.promise
-    running = voter.running.get(DUTY)
+    running = voter.leases.get(DUTY)
     held = (
         None
         if running is None or running.until <= NOW
@@ -58,11 +58,11 @@
     read = Paper()
     if ask.kind == "lease":
         if "disturbs" in bugs:
-            voter.running.clear()
+            voter.leases.clear()
         answer = voter.grant(NOW, DUTY, who, LEASE, ask.round)
     elif ask.kind == "release":
         if "anyone releases" in bugs:
-            voter.running.clear()
+            voter.leases.clear()
         answer = voter.release(NOW, DUTY, who)
     elif ask.kind == "read":
         answer = voter.read(DUTY, who)
@@ -96,7 +96,7 @@
 def learns(seat: Seat, others: list[Seat], bugs: frozenset[str]) -> Seat:
     """From a majority of others; time may pass before it votes by that."""
     parts = others[:1] if "learns from one" in bugs else others
-    found = merged([{DUTY: promise(one.promise)} for one in parts if one.promise != Paper()])
+    found = merge_promises([{DUTY: promise(one.promise)} for one in parts if one.promise != Paper()])
     known = paper(found[DUTY]) if DUTY in found else Paper()
     return seat._replace(word="learned", promise=known, disk=known)
 
--- a/tests/duties_life.py
+++ b/tests/duties_life.py
@@ -11,10 +11,10 @@
 from stackpitch.duties.ownership import candidate as candidates
 from stackpitch.duties.ownership.fence import Fence
 from stackpitch.duties.ownership.joining import State, decide
-from stackpitch.duties.ownership.lease import voters_time
+from stackpitch.duties.ownership.lease import voter_lease_duration
 from stackpitch.duties.ownership.rounds import Round
-from stackpitch.duties.ownership.vacancy import Vacancy, order
-from stackpitch.duties.ownership.voter import Voter
+from stackpitch.duties.ownership.vacancy import VacancyNotifier, candidate_order
+from stackpitch.duties.ownership.voting_replica import VotingReplica
 from stackpitch.duties.record.keeping import Keeping
 
 DUTY, LEASE, CALL, DRIFT = "weights", 10_000, 1_500, 0.01
@@ -40,10 +40,13 @@
         self.fence = Fence()  # soft at gateways that keep no file
         self.candidate = candidates.Candidate(self.number, life.chance.getrandbits(48), 0, life.voters, LEASE)
         self.keeping, self.value, self.joined = None, None, False
-        self.voter = Voter(
-            LEASE, DRIFT, self.now() + (0 if "hasty" in life.bugs else voters_time(LEASE, DRIFT))
+        self.voter = VotingReplica(
+            LEASE, DRIFT, self.now() + (0 if "hasty" in life.bugs else voter_lease_duration(LEASE, DRIFT))
+        )
+        self.vacancy, self.vacant = (
+            VacancyNotifier(candidate_order(DUTY, len(life.nodes) or life.size)),
+            False,
         )
-        self.vacancy, self.vacant = Vacancy(order(DUTY, len(life.nodes) or life.size)), False
         if self.number in life.voters:
             self.join()
 
@@ -61,7 +64,7 @@
                 self.later(2_000, self.join)
                 return
             if self.blank:
-                self.voter.quiet = self.now() + voters_time(LEASE, DRIFT)
+                self.voter.silent_until = self.now() + voter_lease_duration(LEASE, DRIFT)
             self.disk, self.blank, self.joined = dict(found.promises), False, True
             self.voter.promises = dict(found.promises)
             self.tell()
@@ -79,14 +82,17 @@
     def tell(self):
         """Whom a voter tells of a vacancy."""
         now = self.now()
-        if self.voter.vacant(now, DUTY):
+        if self.voter.is_vacant(now, DUTY):
             if not self.vacant:
-                self.vacancy.begin(now, None)
-            for number in self.vacancy.next(now):
+                self.vacancy.start(now, None)
+            for number in self.vacancy.next_candidates(now):
                 self.life.call(
-                    self, number, lambda node: node.told(self.voter.promised(DUTY).stamp), lambda answer: None
+                    self,
+                    number,
+                    lambda node: node.told(self.voter.promise_of(DUTY).stamp),
+                    lambda answer: None,
                 )
-        self.vacant = self.voter.vacant(now, DUTY)
+        self.vacant = self.voter.is_vacant(now, DUTY)
         self.later(300, self.tell)
 
     def later(self, delay, call):
@@ -102,21 +108,21 @@
             return Answer("not voting yet")
         now = self.now()
         answer = {
-            "would": lambda: self.voter.would(now, DUTY, stamp, LEASE),
+            "would": lambda: self.voter.pre_vote(now, DUTY, stamp, LEASE),
             "lease": lambda: self.voter.grant(now, DUTY, stamp, LEASE, renewal),
             "release": lambda: self.voter.release(now, DUTY, stamp),
             "read": lambda: self.voter.read(DUTY, stamp),
             "write": lambda: self.voter.write(DUTY, stamp, body),
         }[kind]()
-        if self.voter.dirty and not ("no sync" in self.life.bugs and self.life.chance.random() < 0.9):
+        if self.voter.unsaved and not ("no sync" in self.life.bugs and self.life.chance.random() < 0.9):
             self.disk, self.serial = dict(self.voter.promises), self.serial + 1
-            self.voter.dirty.clear()
+            self.voter.unsaved.clear()
         return answer
 
     # As a candidate and owner.
 
     def told(self, known):
-        self.candidate.outdone(known)
+        self.candidate.observe_stamp(known)
         self.send(self.candidate.campaign(self.now()))
         return True
 
@@ -132,19 +138,19 @@
     def heard(self, asked, voter, answer, then):
         if asked.kind in ("read", "write"):
             won = asked.won
-            asked.heard(voter, answer)
+            asked.record(voter, answer)
             if asked.won and not won and asked.stamp == self.candidate.stamp:
                 then()
             return
         before = self.candidate.stage
-        self.send(self.candidate.heard(self.now(), asked, voter, answer))
+        self.send(self.candidate.record_answer(self.now(), asked, voter, answer))
         if before != "owner" and self.candidate.stage == "owner":
             self.owns(asked)
 
     def owns(self, asked):
         stamp, life = self.candidate.stamp, self.life
         if "late lease" in life.bugs:
-            self.candidate.until = self.now() + 2 * LEASE
+            self.candidate.lease_until = self.now() + 2 * LEASE
         life.wins(self, stamp)
         self.keeping, self.value = Keeping(DUTY, stamp, life.voters), None
         read = self.keeping.read(self.now())
@@ -184,7 +190,7 @@
             self.later(CALL, lambda: self.keeping.wanted is wanted and self.write(then))
 
     def looks(self, stamp):
-        return self.candidate.stamp == stamp and self.candidate.holds(self.now())
+        return self.candidate.stamp == stamp and self.candidate.holds_lease(self.now())
 
     def work(self, stamp):
         """Counts up; each count that a majority has is never forgotten."""
@@ -202,8 +208,8 @@
     def renew(self, stamp):
         if self.candidate.stamp != stamp:
             return
-        if not self.candidate.holds(self.now()):
-            self.send(self.candidate.leave(self.now(), "its lease ran out"))
+        if not self.candidate.holds_lease(self.now()):
+            self.send(self.candidate.step_down(self.now(), "its lease ran out"))
             return
         self.send(self.candidate.renew(self.now()))
         self.later(LEASE // 3, lambda: self.renew(stamp))
@@ -272,7 +278,7 @@
         assert self.won.setdefault(stamp.term, stamp) == stamp, "one term was won by two starts"
         self.owners += 1
         for other in self.nodes:
-            assert other is node or not (other.up and other.candidate.holds(other.now())), (
+            assert other is node or not (other.up and other.candidate.holds_lease(other.now())), (
                 "two leases at one time"
             )
 
@@ -322,7 +328,7 @@
                 )  # its process is stopped: it goes on with all of it when woken
             else:
                 call()
-        return [node for node in self.nodes if node.up and node.candidate.holds(node.now())]
+        return [node for node in self.nodes if node.up and node.candidate.holds_lease(node.now())]
 
 
 __all__ = ["DUTY", "LEASE", "Life", "Round", "raw"]
--- a/tests/test_announced.py
+++ b/tests/test_announced.py
@@ -8,7 +8,7 @@
 
 from benchmarks.duties import QUIET
 from stackpitch.duties.calls import raw
-from stackpitch.duties.carrier import Duties, Figures
+from stackpitch.duties.carrier import Duties, DutiesConfig
 from stackpitch.duties.weights import forms
 from stackpitch.duties.weights.plan.sites import Heard, Sites
 from stackpitch.duties.weights.settings import WeightsSettings
@@ -49,7 +49,7 @@
 
     def programs(command):
         number, world = int(command[0]), worlds[0]
-        figures = Figures(
+        figures = DutiesConfig(
             "hall",
             number,
             tuple(("127.0.0.1", 1000 + one) for one in range(SIZE)),
@@ -80,7 +80,9 @@
 
     def owner():
         return next(
-            number for number, one in made.items() if one.desk.ownings["weights"].candidate.stage == "owner"
+            number
+            for number, one in made.items()
+            if one.receiver.lease_managers["weights"].candidate.stage == "owner"
         )
 
     def main():
@@ -89,11 +91,15 @@
         ours = works[owner()]
         assert ours.heard_of == {number: number for number in range(SIZE)}
         gone = next(number for number in (3, 4) if number != ours.number)
-        before = sum(count for (kind, _), count in made[ours.number].posts.counts.items() if kind == "owner")
+        before = sum(
+            count for (kind, _), count in made[ours.number].peer_calls.counts.items() if kind == "owner"
+        )
         children[gone].signal(9)
         yield from world.sleep(2 * ANNOUNCE)
         assert ours.heard_of == {number: number for number in range(SIZE) if number != gone}
-        after = sum(count for (kind, _), count in made[ours.number].posts.counts.items() if kind == "owner")
+        after = sum(
+            count for (kind, _), count in made[ours.number].peer_calls.counts.items() if kind == "owner"
+        )
         assert after - before <= 2 * SIZE + 8, "two rounds, and tries of the one that is gone"
 
     world.run(main())
--- a/tests/test_duties_pure.py
+++ b/tests/test_duties_pure.py
@@ -10,14 +10,14 @@
 from test_membership import Cut, CutFiles
 
 from stackpitch.duties.calls import Answer, Stamp
-from stackpitch.duties.ownership.ballots import Ballots, Identity
 from stackpitch.duties.ownership.candidate import Candidate
 from stackpitch.duties.ownership.errors import FileOfAnother, FileTaken, FileUnreadable
 from stackpitch.duties.ownership.joining import State, decide
-from stackpitch.duties.ownership.pacing import Announcing
-from stackpitch.duties.ownership.terms import next_term, owner_of, text
-from stackpitch.duties.ownership.vacancy import Vacancy, order
-from stackpitch.duties.ownership.voter import Promise, Voter
+from stackpitch.duties.ownership.pacing import AnnouncementSchedule
+from stackpitch.duties.ownership.promise_store import Identity, PromiseStore
+from stackpitch.duties.ownership.terms import format_term, next_term, owner_of
+from stackpitch.duties.ownership.vacancy import VacancyNotifier, candidate_order
+from stackpitch.duties.ownership.voting_replica import Promise, VotingReplica
 from stackpitch.duties.record.keeping import of
 from stackpitch.duties.record.register import Kept
 from stackpitch.loop import MS, RealFiles
@@ -39,7 +39,7 @@
     `lease 2.b #3`: the third of its term's leases; left out, the next. `vacant > yes`: whether somebody new would be granted it."""
 
     def __init__(self):
-        self.now, self.voter, self.renewals = 0, Voter(3000 * MS, 0.01, 0), {}
+        self.now, self.voter, self.renewals = 0, VotingReplica(3000 * MS, 0.01, 0), {}
 
     def line(self, line):
         text_, _, wanted = line.partition(" > ")
@@ -47,9 +47,9 @@
         if kind == "at":
             self.now = int(words[0]) * MS
         elif kind == "quiet":
-            self.voter.quiet = int(words[0]) * MS
+            self.voter.silent_until = int(words[0]) * MS
         elif kind == "vacant":
-            assert ("yes" if self.voter.vacant(self.now, "d") else "no") == wanted, wanted
+            assert ("yes" if self.voter.is_vacant(self.now, "d") else "no") == wanted, wanted
         elif kind == "promised":
             self.voter.promises["d"] = Promise(stamp(words[0]))
         else:
@@ -66,7 +66,7 @@
         else:
             answer = {
                 "lease": lambda: voter.grant(self.now, "d", who, lease, renewal),
-                "would": lambda: voter.would(self.now, "d", who, lease),
+                "would": lambda: voter.pre_vote(self.now, "d", who, lease),
                 "release": lambda: voter.release(self.now, "d", who),
                 "read": lambda: voter.read("d", who),
             }[kind]()
@@ -78,7 +78,7 @@
             else answer.word.split()
         )
         if answer.word == "leased":
-            said.append(str(-(-voter.free_in(self.now, "d", who) // MS)))
+            said.append(str(-(-voter.lease_remaining(self.now, "d", who) // MS)))
         if kind == "read" and answer.yes:
             kept = of(answer)
             said.append(f"{shown(kept.stamp)}.{kept.version}={kept.value.decode()}" if kept.version else "-")
@@ -125,7 +125,7 @@
             self.heard[int(words[0])] = self.state(words[1:])
         else:
             found = decide(self.voters, 0, self.generation, self.mine, self.heard)
-            assert found.word == words[0], found
+            assert found.outcome == words[0], found
             serials = [int(words.pop(1).split("=")[1]) for word in words[1:2] if word.startswith("serial=")]
             assert serials in ([], [found.serial]), found
             if words[1:]:
@@ -183,22 +183,22 @@
         later = next_term(term, 0, number)
         assert later > term and owner_of(later) == number
         term = later
-    assert text(next_term(term, 2, 7)) == "2.1.7" and next_term(term, 2, 7) > next_term(term, 0, 1023)
+    assert format_term(next_term(term, 2, 7)) == "2.1.7" and next_term(term, 2, 7) > next_term(term, 0, 1023)
 
 
 def test_a_campaign_that_was_lost_after_its_pre_vote_is_not_repeated_under_its_term():
     """Nobody had answered, so nobody told it a term; its release is still on its way and must not free a later lease."""
     candidate, voters = (
         Candidate(3, 7, 0, (0, 1, 2), 3000 * MS),
-        [Voter(3000 * MS, 0.01, 0) for _ in range(2)],
+        [VotingReplica(3000 * MS, 0.01, 0) for _ in range(2)],
     )
 
     def campaign(now, answer):
         asked, then = candidate.campaign(now), None
         for number in (0, 1):
-            then = candidate.heard(now, asked, number, Answer("yes")) or then
+            then = candidate.record_answer(now, asked, number, Answer("yes")) or then
         for number in (0, 1):
-            last = candidate.heard(now, then, number, answer(voters[number], then))
+            last = candidate.record_answer(now, then, number, answer(voters[number], then))
         return then, last
 
     _, release = campaign(0, lambda voter, asked: None)
@@ -207,15 +207,15 @@
     assert candidate.stage == "owner" and won.stamp.term > release.stamp.term
     for voter in voters:
         voter.release(200, "d", release.stamp)
-    assert not any(voter.vacant(200, "d") for voter in voters), "the owner's lease is still running"
+    assert not any(voter.is_vacant(200, "d") for voter in voters), "the owner's lease is still running"
 
 
 @pytest.mark.parametrize("candidates", [1, 5, 230, 1024])
 def test_a_vacancy_is_told_to_all_in_the_end_and_never_to_many_at_once(candidates):
-    vacancy, now, told, rounds = Vacancy(order("weights", candidates)), 0, [], 0
-    vacancy.begin(0, last=0)
+    vacancy, now, told, rounds = VacancyNotifier(candidate_order("weights", candidates)), 0, [], 0
+    vacancy.start(0, previous_holder=0)
     while len(set(told)) < candidates:
-        some = vacancy.next(now)
+        some = vacancy.next_candidates(now)
         assert len(some) <= 16 and (len(told) or some[0] != 0 or candidates == 1), (
             "whose lease ran out is told last"
         )
@@ -223,16 +223,16 @@
         now, rounds = vacancy.due, rounds + 1
     assert now < 10_000 * 10 and len(told) < candidates + 16
     if candidates == 230:
-        firsts = {order(f"duty {number}", candidates)[0] for number in range(40)}
+        firsts = {candidate_order(f"duty {number}", candidates)[0] for number in range(40)}
         assert len(firsts) > 30, "duties are spread"
 
 
 def test_an_owner_tells_those_it_missed_soon_again_and_all_once_in_a_period():
-    pacing, now, rounds = Announcing([0, 1, 2], 60_000 * MS, 60_000 * MS), 0, []
+    schedule, now, rounds = AnnouncementSchedule([0, 1, 2], 60_000 * MS, 60_000 * MS), 0, []
     while now <= 120_000 * MS:
-        wanted = pacing.next(now)
+        wanted = schedule.next_targets(now)
         rounds.append((now // MS, list(wanted)))
-        now += pacing.told(now, [2] if 2 in wanted and now < 3_000 * MS else [])
+        now += schedule.record_round(now, [2] if 2 in wanted and now < 3_000 * MS else [])
     assert rounds == [
         (0, [0, 1, 2]),
         (500, [2]),
@@ -268,17 +268,17 @@
             files = CutFiles(cut, part)
             files.lock = lambda descriptor: True
             try:
-                ballots = Ballots(files, str(path), IDENTITY, most=600)
-                ballots.open()
-                assert ballots.begin({})
+                store = PromiseStore(files, str(path), IDENTITY, compact_bytes=600)
+                store.open()
+                assert store.initialize({})
                 for term in range(1, 25):
-                    assert ballots.save(
+                    assert store.save(
                         "weights", Promise(Stamp(term, 1), Kept(Stamp(term, 1), term, b"v" * 40))
                     )
                     answered = term
             except Cut:
                 pass
-            again = Ballots(RealFiles(), str(path), IDENTITY)
+            again = PromiseStore(RealFiles(), str(path), IDENTITY)
             again.open()
             term = again.promises.get("weights", Promise()).stamp.term
             assert term in (answered, answered + 1), (cut, part, term, answered)
@@ -290,17 +290,17 @@
 
 
 def test_whose_file_it_is(tmp_path):
-    first = Ballots(RealFiles(), str(tmp_path / "votes"), IDENTITY)
+    first = PromiseStore(RealFiles(), str(tmp_path / "votes"), IDENTITY)
     first.open()
-    assert first.begin({}) and first.save("weights", Promise(Stamp(5, 1)))
+    assert first.initialize({}) and first.save("weights", Promise(Stamp(5, 1)))
     with pytest.raises(FileTaken, match="give each its own"):
-        Ballots(RealFiles(), str(tmp_path / "votes"), IDENTITY).open()
+        PromiseStore(RealFiles(), str(tmp_path / "votes"), IDENTITY).open()
     first.close()
     with pytest.raises(FileOfAnother, match="this is voter 2"):
-        Ballots(RealFiles(), str(tmp_path / "votes"), Identity("hall", 2, 0)).open()
+        PromiseStore(RealFiles(), str(tmp_path / "votes"), Identity("hall", 2, 0)).open()
     with pytest.raises(FileUnreadable, match="No such file"):
-        Ballots(RealFiles(), str(tmp_path / "none" / "votes"), IDENTITY).open()
-    later = Ballots(RealFiles(), str(tmp_path / "votes"), Identity("hall", 1, 1))
+        PromiseStore(RealFiles(), str(tmp_path / "none" / "votes"), IDENTITY).open()
+    later = PromiseStore(RealFiles(), str(tmp_path / "votes"), Identity("hall", 1, 1))
     later.open()
     assert later.empty and later.promises["weights"].stamp.term == 5, (
         "of an older generation: what it holds is told, not trusted"
@@ -310,44 +310,44 @@
 def test_what_it_heard_of_other_voters_outlives_it_and_is_no_write_of_its_own(tmp_path):
     path = str(tmp_path / "votes")
     files = CutFiles(fail=errno.ENOSPC)
-    ballots = Ballots(files, path, IDENTITY, most=300)
-    ballots.open()
+    store = PromiseStore(files, path, IDENTITY, compact_bytes=300)
+    store.open()
     assert (
-        ballots.begin({})
-        and ballots.save("weights", Promise(Stamp(1, 1)))
-        and ballots.see({0: 7, 2: 1 << 40})
+        store.initialize({})
+        and store.save("weights", Promise(Stamp(1, 1)))
+        and store.save_seen({0: 7, 2: 1 << 40})
     )
-    assert (ballots.serial, ballots.told) == (1, 1), (
+    assert (store.serial, store.durable_serial) == (1, 1), (
         "voters that tell each other of their writes would never end"
     )
     for term in range(2, 30):
-        assert ballots.save("weights", Promise(Stamp(term, 1))), "the file is written anew meanwhile"
+        assert store.save("weights", Promise(Stamp(term, 1))), "the file is written anew meanwhile"
     files.failing = True
-    assert not ballots.save("weights", Promise(Stamp(30, 1))) and not ballots.see({0: 9, 2: 1 << 40})
-    assert (ballots.serial, ballots.told) == (30, 29), "what is not on disk is told to nobody"
+    assert not store.save("weights", Promise(Stamp(30, 1))) and not store.save_seen({0: 9, 2: 1 << 40})
+    assert (store.serial, store.durable_serial) == (30, 29), "what is not on disk is told to nobody"
     files.failing = False
-    again = Ballots(RealFiles(), str(tmp_path / "copy"), IDENTITY)
+    again = PromiseStore(RealFiles(), str(tmp_path / "copy"), IDENTITY)
     (tmp_path / "copy").write_bytes((tmp_path / "votes").read_bytes())
     again.open()
-    assert (again.seen, again.serial, again.told) == ({0: 7, 2: 1 << 40}, 29, 29)
+    assert (again.seen, again.serial, again.durable_serial) == ({0: 7, 2: 1 << 40}, 29, 29)
     again.close()
-    assert ballots.save("vocabulary", Promise(Stamp(1, 1))) and ballots.told == 31
-    ballots.close()
-    again = Ballots(RealFiles(), path, IDENTITY)
+    assert store.save("vocabulary", Promise(Stamp(1, 1))) and store.durable_serial == 31
+    store.close()
+    again = PromiseStore(RealFiles(), path, IDENTITY)
     again.open()
     assert (again.seen, again.serial) == ({0: 9, 2: 1 << 40}, 31)
 
 
 def test_a_failing_disk_gives_no_yes_until_all_is_written(tmp_path):
     files = CutFiles(fail=errno.ENOSPC)
-    ballots = Ballots(files, str(tmp_path / "votes"), IDENTITY)
-    ballots.open()
-    assert ballots.begin({}) and ballots.save("weights", Promise(Stamp(1, 1)))
+    store = PromiseStore(files, str(tmp_path / "votes"), IDENTITY)
+    store.open()
+    assert store.initialize({}) and store.save("weights", Promise(Stamp(1, 1)))
     files.failing = True
-    assert not ballots.save("weights", Promise(Stamp(2, 1))) and "No space left" in ballots.log.error
+    assert not store.save("weights", Promise(Stamp(2, 1))) and "No space left" in store.log.error
     files.failing = False
-    assert ballots.save("vocabulary", Promise(Stamp(1, 1)))
-    ballots.close()
-    again = Ballots(RealFiles(), str(tmp_path / "votes"), IDENTITY)
+    assert store.save("vocabulary", Promise(Stamp(1, 1)))
+    store.close()
+    again = PromiseStore(RealFiles(), str(tmp_path / "votes"), IDENTITY)
     again.open()
     assert again.promises["weights"].stamp.term == 2 and again.promises["vocabulary"].stamp.term == 1
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -12,7 +12,7 @@
 from tokenizers import Tokenizer, decoders, models, pre_tokenizers, trainers
 
 from stackpitch.duties.calls import FORM, Call, Stamp, raw
-from stackpitch.duties.carrier import Duties, Figures
+from stackpitch.duties.carrier import Duties, DutiesConfig
 from stackpitch.duties.vocabulary import catalogue, errors
 from stackpitch.duties.vocabulary.acting import Acting, Asked, Known, Seen, Told, Written, asked, decide
 from stackpitch.duties.vocabulary.carrying import pages
@@ -666,7 +666,7 @@
             Duties(
                 world,
                 say,
-                Figures(
+                DutiesConfig(
                     "hall",
                     one,
                     addresses,
@@ -685,7 +685,7 @@
         ]
         self.works = [self.made(number, way) for number in range(3)]
         for number, one in enumerate(self.duties):
-            one.posts.send = partial(self.send, number)
+            one.peer_calls.send = partial(self.send, number)
 
     def made(self, number, way=InSteps):
         """A gateway's work that knows nothing."""
@@ -718,7 +718,7 @@
             return None
         body = body if isinstance(body, msgspec.Raw) else raw(body)
         return (
-            yield from self.duties[number].desk.heard(
+            yield from self.duties[number].receiver.handle(
                 Call(FORM, "hall", sender, number, duty, kind, stamp, body)
             )
         )
