--- a/stackpitch/duties/ownership/candidate.py
+++ b/stackpitch/duties/ownership/candidate.py
@@ -1,8 +1,9 @@
-"""One gateway's way to a duty and its time as owner: asks voters, counts their answers, knows when its lease ends.
+"""A gateway as candidate for and owner of a duty: lease requests, their answers, the lease's expiry.
 
-    idle -> would (pre-vote: nothing is promised) -> lease -> owner -> idle
+    idle -> would (pre-vote: changes nothing at the voting replicas) -> lease -> owner -> idle
 
-It begins when a voter says that the duty is vacant, never by itself: a gateway that comes back from a cut disturbs nobody.
+A campaign starts only when a voting replica reports a vacancy, so a gateway that returns from a network partition
+doesn't disturb the current owner.
 """
 
 from stackpitch.duties.calls import Answer, Stamp
@@ -12,9 +13,10 @@
 
 
 class Candidate:
-    """`start`: of this process, so that two starts are told apart. `lease`: what is asked for, in ticks.
+    """The state machine of a candidate for one duty.
 
-    `highest` is the highest term heard of; it only rises.
+    `start` identifies this start of the process. `lease_duration`: of the requested lease, in ticks.
+    `highest_term` is the highest term known; it only rises.
     """
 
     def __init__(
@@ -30,13 +32,13 @@
         self.stage = "idle"
         self.highest_term = 0
         self.stamp = Stamp()
-        self.renewal = 0  # of the last lease that was asked for under the stamp
-        self.lease_until: Time = 0  # by our clock, counted from before the round that won it was asked
-        self.pending_round: Round | None = None  # that decides the stage
-        self.end_reason = ""  # it last left off
+        self.renewal = 0  # number of the last lease requested under the stamp
+        self.lease_until: Time = 0  # on the local clock, counted from before its round was sent
+        self.pending_round: Round | None = None  # the one that decides the stage
+        self.end_reason = ""  # of the last campaign or lease
 
     def campaign(self, now: Time) -> Round | None:
-        """The pre-vote to send; None if one is under way or the duty is ours."""
+        """Starts a campaign; returns the pre-vote to send, None unless idle."""
         if self.stage != "idle":
             return None
         self.stamp = Stamp(terms.next_term(self.highest_term, self.generation, self.number), self.start)
@@ -48,55 +50,63 @@
         return self.pending_round
 
     def renew(self, now: Time) -> Round | None:
-        """To be sent in time while we own; None if we don't."""
+        """The renewal to send; None without a valid lease."""
         return self._lease_round(now) if self.holds_lease(now) else None
 
-    def record_answer(self, now: Time, asked: Round, voter: int, answer: Answer | None) -> Round | None:
-        """An answer, or that none came (None). Gives the round to send next: the real question after a pre-vote that
-        was won, a release after one that was lost."""
-        asked.record(voter, answer)
-        self.highest_term = max(self.highest_term, asked.highest_term)
-        if asked.stamp != self.stamp:
+    def record_answer(
+        self, now: Time, quorum_round: Round, voter: int, answer: Answer | None
+    ) -> Round | None:
+        """Records an answer, None if none came in time; returns the round to send next, if any.
+
+        After a won pre-vote that is the lease round, after a lost or late lease round a release.
+        """
+        quorum_round.record(voter, answer)
+        self.highest_term = max(self.highest_term, quorum_round.highest_term)
+        if quorum_round.stamp != self.stamp:
             return None  # of a campaign or term that is over
-        if asked.kind == "would" and asked is self.pending_round:
-            if asked.won:
+        if quorum_round.kind == "would" and quorum_round is self.pending_round:
+            if quorum_round.won:
                 self.stage, self.pending_round = "lease", self._lease_round(now)
-                self.highest_term = max(
-                    self.highest_term, self.stamp.term
-                )  # else its late release frees the next one's lease
+                # A campaign that reused this term could lose its lease to a delayed release of this one.
+                self.highest_term = max(self.highest_term, self.stamp.term)
                 return self.pending_round
-            if asked.lost:
+            if quorum_round.lost:
                 self._become_idle("no majority would grant it")
-        elif asked.kind == "lease" and asked is self.pending_round and self.stage == "lease":
-            if asked.won:
+        elif quorum_round.kind == "lease" and quorum_round is self.pending_round and self.stage == "lease":
+            if quorum_round.won:
                 self.stage, self.lease_until, self.pending_round = (
                     "owner",
-                    asked.started + self.lease_duration,
+                    quorum_round.started + self.lease_duration,
                     None,
                 )
                 if not self.holds_lease(now):
                     return self.step_down(now, "the answers came after the lease")
-            elif asked.lost:
+            elif quorum_round.lost:
                 return self.step_down(now, "no majority granted it")
-        elif asked.kind == "lease" and self.stage == "owner" and asked.won:
-            self.lease_until = max(self.lease_until, asked.started + self.lease_duration)
+        elif quorum_round.kind == "lease" and self.stage == "owner" and quorum_round.won:
+            self.lease_until = max(self.lease_until, quorum_round.started + self.lease_duration)
         return None
 
     def holds_lease(self, now: Time) -> bool:
-        """The look before each act."""
+        """Whether the lease is valid; checked before each effect and each write."""
         return self.stage == "owner" and now < self.lease_until
 
     def step_down(self, now: Time, reason: str) -> Round | None:
-        """Steps down or gives a campaign up. Gives the release to send, so that nobody waits for our lease; harmless
-        to whoever follows, as voters release only what carries our stamp."""
+        """Ends the lease or the campaign; returns the release to send, None if nothing may have been granted.
+
+        Thanks to the release the next owner needn't wait for the lease to expire. It can't end a later owner's
+        lease, as voting replicas release only a lease under the same stamp.
+        """
         if self.stage == "idle":
             return None
-        before, self.stage = self.stage, "idle"
+        previous_stage, self.stage = self.stage, "idle"
         self._become_idle(reason)
-        return Round("release", self.stamp, now, self.voters) if before in ("lease", "owner") else None
+        return (
+            Round("release", self.stamp, now, self.voters) if previous_stage in ("lease", "owner") else None
+        )
 
     def observe_stamp(self, stamp: Stamp) -> None:
-        """Somebody knows this term: the next campaign goes over it."""
+        """Notes a term that is in use; the next campaign requests a higher one."""
         self.highest_term = max(self.highest_term, stamp.term)
 
     def _lease_round(self, now: Time) -> Round:
--- a/stackpitch/duties/ownership/errors.py
+++ b/stackpitch/duties/ownership/errors.py
@@ -1,8 +1,8 @@
-"""What can be wrong with ownership. Each says what happened, where, and what an operator can do (`remedy`)."""
+"""Errors of leases and of voting replicas' files; `remedy` says what an operator can do."""
 
 
 class SteppedDown(Exception):
-    """This owner's time is over: it acts no more under that term."""
+    """The lease of this gateway has ended: it must not act under that term any more."""
 
     remedy = "Nothing: another gateway goes on, or this one under a new term."
 
@@ -12,7 +12,10 @@
 
 
 class VoterError(Exception):
-    """This gateway does not vote; it serves, and may own duties, as before."""
+    """This gateway doesn't vote. It still serves requests and may own duties.
+
+    The log event `voter_out` carries the name of the subclass.
+    """
 
     remedy = ""
 
@@ -22,24 +25,34 @@
 
 
 class FileTaken(VoterError):
+    """Another process has locked the file."""
+
     remedy = "Two processes were given one voter's file: give each its own duties.file, or stop one of them."
 
 
 class FileOfAnother(VoterError):
+    """The file belongs to another voting replica or fleet."""
+
     remedy = "Give this gateway its own duties.file; a new one fills itself from the other voters."
 
 
 class FileUnreadable(VoterError):
+    """The file could not be opened, locked or read."""
+
     remedy = (
         "Mend the disk or the rights of the folder of duties.file; what could not be read is kept beside it."
     )
 
 
 class FileOlder(VoterError):
+    """The file is an older copy: other voting replicas have seen later writes of it."""
+
     remedy = "Nothing: it is filled anew from the other voters. Don't bring voters' files back from copies."
 
 
 class MajorityLost(VoterError):
+    """A majority of the voting replicas lost their files; only an operator can decide how to go on."""
+
     remedy = (
         "Bring a lost file back from the disk it was on; if it can't be, raise duties.generation at all gateways: then "
         "what the voters still have counts, and the newest records may be gone."
@@ -47,6 +60,8 @@
 
 
 class DiskFailed(VoterError):
+    """The file could not be written."""
+
     remedy = (
         "Make room on the disk of duties.file or mend it; this voter answers again as soon as it can write."
     )
--- a/stackpitch/duties/ownership/fence.py
+++ b/stackpitch/duties/ownership/fence.py
@@ -1,19 +1,19 @@
-"""What a receiver of effects remembers: the highest stamp of each duty. Everything under an older one is turned down."""
+"""Fencing at a receiver: it rejects effects under an older stamp than the highest seen of the duty."""
 
 from stackpitch.duties.calls import Stamp
 
 
 class Fence:
-    """One entry a duty that settings name; never emptied, as forgetting would let an older owner in."""
+    """One entry per duty in the settings; never removed, as forgetting one would admit an older owner."""
 
     def __init__(self) -> None:
         self.highest: dict[str, Stamp] = {}
 
     def admits(self, duty: str, stamp: Stamp) -> bool:
-        """Whether an effect may be taken; one under a newer term shuts out all older ones.
+        """Whether an effect under `stamp` may be applied; a newer term fences off all older ones.
 
-        The same term from another start of the process is turned down too: a voter that lost its file may have let both
-        have it, and there is no telling which came later.
+        The same term from another start of the process is rejected too: a voting replica that lost its file may
+        have granted it to both, and which of them came later is unknown.
         """
         known = self.highest.get(duty, Stamp())
         if stamp.term > known.term:
@@ -22,4 +22,5 @@
         return stamp == known and stamp.term > 0
 
     def highest_stamp(self, duty: str) -> Stamp:
+        """The highest stamp seen for the duty; term 0 if none was."""
         return self.highest.get(duty, Stamp())
--- a/stackpitch/duties/ownership/pacing.py
+++ b/stackpitch/duties/ownership/pacing.py
@@ -27,7 +27,7 @@
 
 
 def split_vote_backoff(duty: str, number: int, count: int) -> Time:
-    """The back-off after the `count`th split vote, in ticks; differs between candidates and between attempts."""
+    """The back-off after the `count`th split vote, in ticks; differs by candidate and by attempt."""
     return crc32(f"{duty} {number} {count}".encode()) % MAX_SPLIT_VOTE_BACKOFF
 
 
@@ -38,11 +38,14 @@
 
 @dataclass(slots=True)
 class AnnouncementSchedule:
-    """Whom an owner tells next that it is there: gateways once in a period, those that were not reached soon again."""
+    """Which gateways an owner announces itself to next: all once per period, unreached ones again sooner.
+
+    `targets` holds the gateways of the next round, at most all of them; each round replaces it.
+    """
 
     gateways: list[int]
     period: Time
-    due: Time  # for gateways
+    due: Time  # of the next announcement to all gateways
     targets: list[int] = field(init=False)
     retry_delay: Time = ANNOUNCE_RETRY_DELAY
 
@@ -50,7 +53,7 @@
         self.targets = list(self.gateways)
 
     def record_round(self, now: Time, missed: list[int]) -> Time:
-        """Records that the last round didn't reach `missed`; returns the wait before the next round, in ticks."""
+        """Records that a round didn't reach `missed`; returns the ticks until the next round."""
         self.targets = missed
         if not missed:
             return max(ANNOUNCE_RETRY_DELAY, self.due - now)
--- a/stackpitch/duties/ownership/promise_store.py
+++ b/stackpitch/duties/ownership/promise_store.py
@@ -1,7 +1,8 @@
-"""A voter's file: whose it is, and each promise, in a log that survives a crash at any byte. Calls block: run them aside.
+"""The file of a voting replica: its identity and promises, in a log that survives a crash at any byte.
 
-A lock beside it keeps a second process out. `serial` counts the promises written in the file's life; other voters keep the
-highest that they have heard of in their own files, and so know an older copy when they see one, also if all have restarted.
+Calls block: run them on a worker thread. A lock file keeps a second process out. `serial` counts the promises written
+over the file's life; the other voting replicas store the highest serial that they know of it, and so detect an older
+copy of the file, even after all of them have restarted.
 """
 
 import msgspec
@@ -15,8 +16,12 @@
 
 
 class Identity(msgspec.Struct, frozen=True, tag="voter"):
-    """`generation`: the one that its promises are good for; an older one's are kept as what was found. `seen`: the other
-    voters' serials as this one heard them; in here, so that versions that don't know it read the file all the same."""
+    """Whose file it is.
+
+    `generation`: the one in which its promises are valid; promises of an older one are only reported to others.
+    `seen`: the highest known serials of the other voting replicas. It is a field of this entry so that versions
+    without it can still read the file.
+    """
 
     fleet: str
     number: int
@@ -25,6 +30,8 @@
 
 
 class Saved(msgspec.Struct, frozen=True, tag="saved"):
+    """The latest promise of one duty, with the serial of its write."""
+
     serial: int
     duty: str
     promise: Promise
@@ -34,12 +41,15 @@
 
 
 class PromiseStore:
-    """One file. One entry a duty that was ever named; what is on disk may be one write ahead of what was answered."""
+    """One voting replica's file. `promises` has one entry per duty ever granted; entries are never removed.
+
+    The file may be one write ahead of what was answered.
+    """
 
     def __init__(self, files: Files, path: str, identity: Identity, compact_bytes: int = 4 << 20) -> None:
         self.files, self.path, self.identity = files, path, identity
-        self.file_identity: Identity | None = None  # whose file it was at opening; None: there was none
-        self.serial = self.durable_serial = 0  # `told`: what of it is on disk, and may be told to others
+        self.file_identity: Identity | None = None  # as read from the file; None: the file was new
+        self.serial = self.durable_serial = 0  # `durable_serial` is on disk and may be sent
         self.seen: dict[int, int] = {}
         self.promises: dict[str, Promise] = {}
         self.lock: int | None = None
@@ -47,11 +57,11 @@
 
     @property
     def empty(self) -> bool:
-        """No file of this generation."""
+        """Whether there was no file of this generation."""
         return self.file_identity is None or self.file_identity.generation != self.identity.generation
 
     def open(self) -> None:
-        """Raises FileTaken, FileOfAnother, FileUnreadable; then it is not open."""
+        """Locks and reads the file. Raises FileTaken, FileOfAnother, FileUnreadable, and closes it then."""
         try:
             self._open()
         except BaseException:
@@ -69,11 +79,14 @@
         self.log.open(self._load_entry)
         if self.log.error:
             raise FileUnreadable(self.path, self.log.error)
-        found = self.file_identity
-        if found is not None and (found.fleet, found.number) != (self.identity.fleet, self.identity.number):
+        identity = self.file_identity
+        if identity is not None and (identity.fleet, identity.number) != (
+            self.identity.fleet,
+            self.identity.number,
+        ):
             raise FileOfAnother(
                 self.path,
-                f"it is that of voter {found.number} of fleet {found.fleet!r}, this is voter "
+                f"it is that of voter {identity.number} of fleet {identity.fleet!r}, this is voter "
                 f"{self.identity.number} of {self.identity.fleet!r}",
             )
 
@@ -91,38 +104,42 @@
 
     def _all_entries(self) -> list[bytes]:
         saved = [Saved(self.serial, duty, promise) for duty, promise in self.promises.items()]
-        return [ENCODER.encode(one) for one in [self._identity_entry(), *saved]]
+        return [ENCODER.encode(entry) for entry in [self._identity_entry(), *saved]]
 
     def _identity_entry(self) -> Identity:
         return msgspec.structs.replace(self.identity, seen=self.seen)
 
     def initialize(self, promises: dict[str, Promise], serial: int = 0) -> bool:
-        """Takes the file as ours from now on, with what it holds and what was learned; whether it is on disk. `serial`: to
-        count on from, if it is higher."""
+        """Writes this replica's identity and the promises it starts from; returns whether they are on disk.
+
+        Serials continue from `serial` if that is higher than the file's.
+        """
         self.promises, self.serial = promises, max(self.serial, serial)
         if not self.log.add(ENCODER.encode(self._identity_entry())):
             return False
         return all([self.save(duty, promise) for duty, promise in promises.items()])
 
     def save(self, duty: str, promise: Promise) -> bool:
-        """Whether it is on disk."""
+        """Writes one promise; returns whether it is on disk."""
         self.serial += 1
         self.promises[duty] = promise
         return self._mark_durable(self.log.add(ENCODER.encode(Saved(self.serial, duty, promise))))
 
     def save_seen(self, seen: dict[int, int]) -> bool:
-        """Keeps what others' serials are; whether it is on disk. It counts as no write: voters that tell each other of
-        their writes would never come to an end."""
+        """Writes the other voting replicas' serials; returns whether they are on disk.
+
+        This doesn't raise `serial`: otherwise replicas that report their writes to each other would never stop.
+        """
         self.seen = seen
         return self._mark_durable(self.log.add(ENCODER.encode(self._identity_entry())))
 
-    def _mark_durable(self, good: bool) -> bool:
-        self.durable_serial = (
-            self.serial if good else self.durable_serial
-        )  # after trouble the file is written anew, whole
-        return good
+    def _mark_durable(self, written: bool) -> bool:
+        # After a failed write the log rewrites the whole file, so one success makes every promise durable.
+        self.durable_serial = self.serial if written else self.durable_serial
+        return written
 
     def close(self) -> None:
+        """Closes the file and releases its lock."""
         self.log.close()
         if self.lock is not None:
             self.files.close(self.lock)
--- a/stackpitch/duties/ownership/rounds.py
+++ b/stackpitch/duties/ownership/rounds.py
@@ -1,4 +1,4 @@
-"""One question to all voters, and how far its answers have come."""
+"""One request to all voting replicas, with the answers so far."""
 
 from dataclasses import dataclass, field
 
@@ -7,23 +7,27 @@
 
 
 def majority(voters: int) -> int:
+    """The size of a quorum of `voters` voting replicas."""
     return voters // 2 + 1
 
 
 @dataclass(eq=False, slots=True)
 class Round:
-    """Dropped once it is decided or the next of its kind has begun."""
+    """One request to all voting replicas. `yes` and `no` hold at most one entry per voting replica.
+
+    Dropped once it is decided or the next round of its kind has begun.
+    """
 
     kind: str
     stamp: Stamp
-    started: Time  # before the first call left
+    started: Time  # before the first call was sent
     voters: tuple[int, ...]
-    renewal: int = 0  # of a lease: which of its term's, from 1
+    renewal: int = 0  # of a lease: its number within the term, from 1
     yes: dict[int, Answer] = field(default_factory=dict)
-    no: dict[int, Answer | None] = field(default_factory=dict)  # None: no answer came
+    no: dict[int, Answer | None] = field(default_factory=dict)  # None: no answer in time
 
     def record(self, voter: int, answer: Answer | None) -> None:
-        """Repeated answers count once; what a voter said first stands."""
+        """Records a voting replica's answer, None if none came in time. Only its first answer counts."""
         if voter in self.voters and voter not in self.yes and voter not in self.no:
             if answer is not None and answer.yes:
                 self.yes[voter] = answer
@@ -32,15 +36,16 @@
 
     @property
     def won(self) -> bool:
+        """Whether a majority agreed."""
         return len(self.yes) >= majority(len(self.voters))
 
     @property
     def lost(self) -> bool:
-        """No majority can come about any more."""
+        """Whether a majority can no longer be reached."""
         return len(self.no) > len(self.voters) - majority(len(self.voters))
 
     @property
     def highest_term(self) -> int:
-        """The highest term that any answer names."""
+        """The highest term in any answer; 0 without answers."""
         answers = [*self.yes.values(), *(one for one in self.no.values() if one is not None)]
         return max((one.stamp.term for one in answers), default=0)
--- a/stackpitch/duties/ownership/vacancy.py
+++ b/stackpitch/duties/ownership/vacancy.py
@@ -1,4 +1,4 @@
-"""Which candidates a voting replica notifies of a vacant duty, and when: few at first, more while it stays vacant.
+"""Which candidates a voting replica notifies of a vacant duty, and when: few at first, then more.
 
 Candidates wait for a notification, so an idle fleet sends nothing and a vacancy starts one campaign rather than
 one per gateway. All voting replicas use the same order; it differs between duties, which spreads them.
@@ -14,7 +14,7 @@
 CANDIDATE_SPACING: Time = 30 * MS
 # Candidates notified in one step: over all steps a vacancy costs the fleet some calls per gateway, spread out.
 MAX_PER_STEP = 16
-MAX_STEP_INTERVAL: Time = 20_000  # ticks; reached once all candidates have been notified without success
+MAX_STEP_INTERVAL: Time = 20_000  # ticks; the interval doubles after each pass over all candidates
 
 
 def candidate_order(duty: str, candidates: int) -> list[int]:
--- a/stackpitch/duties/ownership/voting_replica.py
+++ b/stackpitch/duties/ownership/voting_replica.py
@@ -1,7 +1,8 @@
-"""One voter: what it has promised, whose lease runs, and what it answers.
+"""One voting replica ("voter"): its promises, the leases that it granted, and its answers.
 
-Hard state (`Promise`, on disk before any answer that rests on it) is the highest term granted for each duty, and the duty's
-record. Leases are soft: a voter that starts keeps quiet for as long as one could still run.
+Its durable state is a `Promise` per duty: the highest term granted and the duty's record, on disk before any answer that
+depends on it. Leases are kept in memory only: after a start the replica grants nothing to a new candidate for as long as
+an earlier lease could still be valid.
 """
 
 from dataclasses import dataclass, field
@@ -15,21 +16,24 @@
 
 
 class Promise(msgspec.Struct, frozen=True):
-    """What a voter has promised for one duty: no grant and no write under a lower term."""
+    """For one duty: no grant and no write under a term below `stamp`. `kept` is the duty's record."""
 
     stamp: Stamp = Stamp()
     kept: Kept = Kept()
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """With a "leased": when the voter's word is free again, in ticks from now."""
+    """The body of a "leased" answer: ticks from now until the replica may grant the duty again."""
 
     free_in: Time
 
 
 @dataclass(slots=True)
 class GrantedLease:
-    """A lease as its voter counts it. One a duty; emptied by running out and by release."""
+    """A lease as the voting replica that granted it counts it. One per duty; removed by its release.
+
+    An expired lease stays until the next grant replaces it.
+    """
 
     stamp: Stamp
     until: Time
@@ -37,37 +41,41 @@
 
 @dataclass(slots=True)
 class RenewalProgress:
-    """How far a term's renewals have come. One a duty; a later term's takes its place, a restart empties it.
+    """The latest renewal seen of a term. One per duty; a later term replaces it, a restart empties the table.
 
-    Guards against a network that repeats or holds calls back: a lease call that comes once more would extend the lease of
-    an owner that is dead. What a restart forgets costs one lease's time at most for each call that is late by then.
+    Guards against repeated and delayed calls: a lease call that arrives a second time would extend the lease of a
+    dead owner. After a restart each such call extends a lease by at most one lease duration.
     """
 
     stamp: Stamp
     renewal: int
-    released: bool = False  # no more of them: what comes still is late
+    released: bool = False  # later renewals of this term are refused
 
 
 @dataclass(slots=True)
 class VotingReplica:
-    """`lease`: the longest that it grants. `drift`: of clocks against true time. `quiet`: until when a lease may run that
-    an earlier start of this voter granted; nobody new is granted one before."""
+    """A voting replica's state machine.
+
+    `max_lease`: the longest lease that it grants, in ticks. `max_clock_drift`: of a clock against true time, as a
+    fraction. `silent_until`: until then a lease granted before the restart may still be valid, so no new candidate
+    is granted one.
+    """
 
     max_lease: Time
     max_clock_drift: float
     silent_until: Time
-    promises: dict[str, Promise] = field(default_factory=dict)  # one a duty; never emptied
+    promises: dict[str, Promise] = field(default_factory=dict)  # one per duty; never removed
     leases: dict[str, GrantedLease] = field(default_factory=dict)
     renewals: dict[str, RenewalProgress] = field(default_factory=dict)
-    unsaved: dict[str, None] = field(
-        default_factory=dict
-    )  # duties whose promise is not on disk; emptied by the carrier
+    # Duties whose promise is not on disk; at most one entry per duty, removed once written.
+    unsaved: dict[str, None] = field(default_factory=dict)
 
     def promise_of(self, duty: str) -> Promise:
+        """The promise for the duty; the lowest possible if none was made."""
         return self.promises.get(duty, Promise())
 
     def lease_remaining(self, now: Time, duty: str, stamp: Stamp) -> Time:
-        """How long another's lease may still run; 0: not at all."""
+        """Ticks for which a lease under another stamp may still be valid; 0 if there is none."""
         granted = self.leases.get(duty)
         until = granted.until if granted is not None and granted.stamp != stamp else 0
         if stamp != self.promise_of(duty).stamp:
@@ -75,27 +83,30 @@
         return max(0, until - now)
 
     def is_vacant(self, now: Time, duty: str) -> bool:
-        """Whether this voter would grant the duty to somebody new."""
+        """Whether this replica would grant the duty to a new candidate."""
         granted = self.leases.get(duty)
         return now >= self.silent_until and (granted is None or granted.until <= now)
 
     def _refusal_to_grant(self, now: Time, duty: str, stamp: Stamp, lease: Time) -> Answer | None:
-        """Why not; None: it may be granted."""
+        """The refusal of a lease; None if it may be granted."""
         known = self.promise_of(duty).stamp
         if lease > self.max_lease:
             return Answer("longer lease than this voter grants", known)
         if stamp.term < known.term or (stamp.term == known.term and stamp != known):
             return Answer("older term", known)
-        if free_in := self.lease_remaining(now, duty, stamp):
-            return Answer("leased", known, raw(Refusal(free_in)))
+        if remaining := self.lease_remaining(now, duty, stamp):
+            return Answer("leased", known, raw(Refusal(remaining)))
         return None
 
     def pre_vote(self, now: Time, duty: str, stamp: Stamp, lease: Time) -> Answer:
-        """Pre-vote: whether `grant` would say yes. Changes nothing, so asking deposes nobody."""
+        """Pre-vote: whether `grant` would agree. Changes no state, so it can't depose an owner."""
         return self._refusal_to_grant(now, duty, stamp, lease) or Answer("yes", self.promise_of(duty).stamp)
 
     def grant(self, now: Time, duty: str, stamp: Stamp, lease: Time, renewal: int) -> Answer:
-        """Grants or renews; `renewal` rises within a term. What it promises is on disk before the answer leaves (`dirty`)."""
+        """Grants or renews a lease; `renewal` rises within a term.
+
+        The caller writes the promises in `unsaved` to disk before it sends the answer.
+        """
         if (refusal := self._refusal_to_grant(now, duty, stamp, lease)) is not None:
             return refusal
         progress = self.renewals.get(duty)
@@ -111,7 +122,7 @@
         return Answer("yes", stamp)
 
     def release(self, now: Time, duty: str, stamp: Stamp) -> Answer:
-        """The holder lets go. The promise stays: its term is never given again."""
+        """Ends the holder's lease. The promise stays, so the term is never granted again."""
         if (refusal := self._refusal_if_fenced(duty, stamp)) is not None:
             return refusal
         granted, progress = self.leases.get(duty), self.renewals.get(duty)
@@ -122,7 +133,7 @@
         return Answer("yes", self.promise_of(duty).stamp)
 
     def read(self, duty: str, stamp: Stamp) -> Answer:
-        """The record, for an owner. Reading promises too: what an older owner writes after it is turned down."""
+        """The record, for an owner. Promises the owner's term, which fences off writes of older owners."""
         if (refusal := self._refusal_if_fenced(duty, stamp)) is not None:
             return refusal
         kept = self.promise_of(duty).kept
@@ -130,12 +141,13 @@
         return Answer("yes", stamp, raw(kept))
 
     def write(self, duty: str, stamp: Stamp, kept: Kept) -> Answer:
+        """Replaces the record; refused under an older term, if too large or if older than the record."""
         if (refusal := self._refusal_if_fenced(duty, stamp)) is not None:
             return refusal
         if len(kept.value) > LARGEST:
             return Answer("record too large", stamp)
         if kept.stamp != stamp or kept.order < self.promise_of(duty).kept.order:
-            return Answer("older write", stamp)  # repeated or overtaken by the same owner's later one
+            return Answer("older write", stamp)  # a repeat, or overtaken by a later write of the same owner
         self._set_promise(duty, Promise(stamp, kept))
         return Answer("yes", stamp)
 
