--- a/stackpitch/duties/carrier/announcing.py
+++ b/stackpitch/duties/carrier/announcing.py
@@ -1,4 +1,4 @@
-"""An owner tells every gateway that it is there: where reports go, and what shuts out whoever owned the duty before."""
+"""An owner announces itself to every gateway, which directs reports to it and fences off earlier owners."""
 
 import msgspec
 
@@ -11,40 +11,43 @@
 
 
 def announce(world: World, config: DutiesConfig, tenure: LeaseTenure, work: Work | None) -> Coro[None]:
-    """Voters first. Then for as long as it owns: those that were not reached soon again, all once in `announce`. `work`:
-    told what came with each yes."""
+    """Announces the owner for as long as the tenure lasts: voting replicas first, then the other gateways.
+
+    Unreached gateways are retried with back-off, all are notified once per announcement period. `work`
+    receives what each gateway's answer carried.
+    """
     rest = [number for number in range(config.gateways) if number not in config.voters]
     schedule = AnnouncementSchedule(
         [*config.voters, *rest], config.announce_period, world.now() + config.announce_period
     )
     while True:
-        missed = yield from _round(world, tenure, work, schedule.next_targets(world.now()))
+        missed = yield from _announce_to(world, tenure, work, schedule.next_targets(world.now()))
         yield from world.sleep(schedule.record_round(world.now(), missed))
 
 
-def _round(world: World, tenure: LeaseTenure, work: Work | None, numbers: list[int]) -> Coro[list[int]]:
-    """Who was not reached."""
-    left, missed = list(reversed(numbers)), list[int]()
+def _announce_to(world: World, tenure: LeaseTenure, work: Work | None, numbers: list[int]) -> Coro[list[int]]:
+    """Returns the gateways that were not reached."""
+    pending, missed = list(reversed(numbers)), list[int]()
 
-    def some() -> Coro[None]:
-        while left:
-            number = left.pop()
+    def worker() -> Coro[None]:
+        while pending:
+            number = pending.pop()
             answer = yield from tenure.effect(number, "owner", None)
             if answer is None or not answer.yes:
                 missed.append(number)
             if work is not None:
-                _pass_on(work, number, answer)
+                _deliver_answer(work, number, answer)
 
     def body(group: Group) -> Coro[None]:
         yield from ()
         for _ in range(min(MAX_CONCURRENT_ANNOUNCEMENTS, len(numbers))):
-            group.spawn(some(), "announce")
+            group.spawn(worker(), "announce")
 
     yield from world.group(body)
     return sorted(missed)
 
 
-def _pass_on(work: Work, number: int, answer: Answer | None) -> None:
+def _deliver_answer(work: Work, number: int, answer: Answer | None) -> None:
     try:
         work.announced(number, answer.body if answer is not None and answer.yes else None)
     except msgspec.DecodeError:
--- a/stackpitch/duties/carrier/config.py
+++ b/stackpitch/duties/carrier/config.py
@@ -1,4 +1,4 @@
-"""What the carrier is made with."""
+"""The settings of coordinated tasks, as the carrier uses them."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DutiesConfig:
-    """From settings; times in ticks. `addresses`: each gateway's admin port by number, our own too."""
+    """The settings of the duties; times in ticks.
+
+    `addresses`: each gateway's admin port by number, this gateway's included. `voters`: the gateways that
+    are voting replicas. `max_clock_drift`: against true time, as a fraction. `max_calls`: in flight at
+    once.
+    """
 
     fleet: str
     number: int
--- a/stackpitch/duties/carrier/duties.py
+++ b/stackpitch/duties/carrier/duties.py
@@ -1,4 +1,4 @@
-"""A gateway's duties put together: desk, voter if it is one, an owning for each duty, the works."""
+"""A gateway's coordinated tasks ("duties"): receiver, voting replica, lease managers and works."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -17,8 +17,11 @@
 
 
 class Duties:
-    """Also the works' `Ground`. `works`: those that this gateway has, by name; a duty without one is owned all the same,
-    and keeps an empty record."""
+    """Runs a gateway's duties; implements `work.Ground` for their works.
+
+    `works`: this gateway's works by name. A duty without one is still owned by some gateway, with an empty
+    record.
+    """
 
     LARGEST = LARGEST
 
@@ -31,11 +34,11 @@
         self.peer_calls = PeerCalls(world, config, self.receiver.handle)
 
     def add(self, work: Work) -> None:
-        """Before it runs."""
+        """Adds a work. To be called before `run`."""
         self.works[work.name] = work
 
     def run(self) -> Coro[None]:
-        """Runs as long as the gateway does. A fault here ends the duties, never the gateway."""
+        """Runs as long as the gateway does. An unexpected error ends the duties but not the gateway."""
         try:
             yield from self.world.group(self._body)
         except Exception as error:
@@ -66,25 +69,27 @@
             group.spawn(work.serve(), name)
 
     def leave(self) -> Coro[None]:
-        """Hands over what is owned; returns once the voters know, or the call's limit has passed."""
-        owned = [one for one in self.receiver.lease_managers.values() if one.candidate.stage != "idle"]
-        for one in self.receiver.lease_managers.values():
-            one.leave()
-        if owned:
+        """Releases all leases; returns once the releases were sent, at the latest after `call_timeout`."""
+        active = [
+            manager for manager in self.receiver.lease_managers.values() if manager.candidate.stage != "idle"
+        ]
+        for manager in self.receiver.lease_managers.values():
+            manager.leave()
+        if active:
             with self.world.limit(self.config.call_timeout):
-                while self.peer_calls.turns.in_use or any(one.scope is not None for one in owned):
+                while self.peer_calls.slots.in_use or any(manager.scope is not None for manager in active):
                     yield from self.world.sleep(5 * MS)
 
     def take(self, body: bytes) -> Coro[tuple[int, bytes]]:
-        return (yield from self.receiver.take(body))
+        return (yield from self.receiver.handle_request(body))
 
     def counts(self) -> Counter[tuple[str, str]]:
-        """Calls by kind and what became of them; dropped ones by why."""
+        """Calls by kind and result; dropped ones by reason."""
         return self.peer_calls.counts + Counter(
-            {("dropped", why): count for why, count in self.receiver.dropped.items()}
+            {("dropped", reason): count for reason, count in self.receiver.dropped.items()}
         )
 
-    # For works.
+    # The methods of `work.Ground`.
 
     def owner(self, duty: str) -> int | None:
         return self.receiver.owners.get(duty)
--- a/stackpitch/duties/carrier/learning.py
+++ b/stackpitch/duties/carrier/learning.py
@@ -1,7 +1,8 @@
-"""What a gateway that starts has to know before it takes effects: the newest terms that were in service.
+"""A gateway that starts learns the newest terms in service before it accepts effects.
 
-Guards against an owner that was stopped before this gateway's restart and is woken after it: the fence alone would have
-forgotten who came later. A record is written only under a term that was won, so the voters' records tell.
+Guards against an owner whose process was paused before this gateway's restart and resumes after it: the
+fence, which is in memory, no longer knows the later owner. A record is written only under a term that was
+granted, so the voting replicas' records show the terms.
 """
 
 import msgspec
@@ -20,11 +21,12 @@
 
 
 def learn(world: World, config: DutiesConfig, peer_calls: PeerCalls, receiver: CallReceiver) -> Coro[None]:
+    """Asks the voting replicas until a majority has answered; then `receiver.learned` is set."""
     pause = LEARN_INTERVAL
     while True:
-        heard: dict[int, State] = {}
-        yield from world.group(lambda group, heard=heard: _round(group, config, peer_calls, heard))  # type: ignore[misc]
-        for state in heard.values():
+        states: dict[int, State] = {}
+        yield from world.group(lambda group, states=states: _ask_voters(group, config, peer_calls, states))  # type: ignore[misc]
+        for state in states.values():
             for duty, promise in state.promises.items():
                 stamp = promise.kept.stamp
                 if (
@@ -33,23 +35,25 @@
                     and receiver.fence.admits(duty, stamp)
                 ):
                     receiver.owners[duty] = owner_of(stamp.term)
-                    receiver.lease_managers[duty].outdone(stamp)
-        if len(heard) >= majority(len(config.voters)):
+                    receiver.lease_managers[duty].observe_stamp(stamp)
+        if len(states) >= majority(len(config.voters)):
             receiver.learned = True
             return
         yield from world.sleep(pause)
         pause = next_learn_interval(pause)
 
 
-def _round(group: Group, config: DutiesConfig, peer_calls: PeerCalls, heard: dict[int, State]) -> Coro[None]:
-    def one(number: int) -> Coro[None]:
+def _ask_voters(
+    group: Group, config: DutiesConfig, peer_calls: PeerCalls, states: dict[int, State]
+) -> Coro[None]:
+    def ask(number: int) -> Coro[None]:
         answer: Answer | None = yield from peer_calls.send(number, "", "state")
         if answer is not None and answer.yes:
             try:
-                heard[number] = STATE.decode(answer.body)
+                states[number] = STATE.decode(answer.body)
             except msgspec.DecodeError:
-                pass  # as if none had come
+                pass  # treated as no answer
 
     yield from ()
     for number in config.voters:
-        group.spawn(one(number), f"learn {number}")
+        group.spawn(ask(number), f"learn {number}")
--- a/stackpitch/duties/carrier/lease_manager.py
+++ b/stackpitch/duties/carrier/lease_manager.py
@@ -1,4 +1,4 @@
-"""One duty on one gateway: campaigns when a voter says so, holds the lease, runs the work while it holds."""
+"""One duty on one gateway: campaigns on a vacancy, renews the lease, runs the work under it."""
 
 from typing import Any
 
@@ -22,6 +22,8 @@
 
 
 class Given(msgspec.Struct, frozen=True):
+    """The body of a voting replica's yes to a lease: the serial of its writes."""
+
     serial: int = 0
 
 
@@ -29,7 +31,10 @@
 
 
 class LeaseManager:
-    """`serials`: of each voter, as it said last; as many entries as voters."""
+    """Drives the candidate of one duty.
+
+    `serials`: the highest reported by each voting replica; at most one entry per replica.
+    """
 
     def __init__(
         self,
@@ -49,95 +54,101 @@
             config.number, start, config.generation, config.voters, config.lease_duration
         )
         self.serials: dict[int, int] = {}
-        self.scope: Scope | None = None  # of the tenure
-        self.why = ""  # it was ended
+        self.scope: Scope | None = None  # of the current tenure, None without one
+        self.end_reason = ""  # of the current tenure
         self.leaving = False
-        self.rests: Time = 0  # until then
-        self.split = 0  # campaigns that were lost after their pre-vote
+        self.backoff_until: Time = 0  # no campaign before then
+        self.split_votes = 0  # campaigns lost after a won pre-vote
 
     # Campaigns.
 
     def on_vacancy(self, call: Call) -> Answer:
-        """A voter says that the duty is vacant."""
-        if self.leaving or self.world.now() < self.rests:
+        """A voting replica reports the duty vacant: starts a campaign unless backing off or shutting down."""
+        if self.leaving or self.world.now() < self.backoff_until:
             return Answer("not now")
         self.candidate.observe_stamp(call.stamp)
         self.candidate.observe_stamp(self.fence.highest_stamp(self.duty))
-        if (asked := self.candidate.campaign(self.world.now())) is not None:
-            self._send(asked)
+        if (quorum_round := self.candidate.campaign(self.world.now())) is not None:
+            self._send_round(quorum_round)
         return Answer("yes")
 
-    def _send(self, asked: Round) -> None:
-        for voter in asked.voters:
-            self.group.spawn(self._one(asked, voter), f"{asked.kind} {self.duty} {voter}")
+    def _send_round(self, quorum_round: Round) -> None:
+        for voter in quorum_round.voters:
+            self.group.spawn(self._call(quorum_round, voter), f"{quorum_round.kind} {self.duty} {voter}")
 
-    def _one(self, asked: Round, voter: int) -> Coro[None]:
-        """The round's own look: a renewal leaves only while the lease holds, a question of a campaign only in its stage."""
+    def _call(self, quorum_round: Round, voter: int) -> Coro[None]:
+        """Sends one call of a round and handles its answer.
 
-        def look() -> bool:
-            if asked.kind == "release":
+        A renewal is sent only while the lease is valid, a campaign's call only while its round is pending.
+        """
+
+        def still_valid() -> bool:
+            if quorum_round.kind == "release":
                 return True
-            return asked.stamp == self.candidate.stamp and (
-                self.candidate.pending_round is asked or self.candidate.holds_lease(self.world.now())
+            return quorum_round.stamp == self.candidate.stamp and (
+                self.candidate.pending_round is quorum_round or self.candidate.holds_lease(self.world.now())
             )
 
         body = (
-            raw(Lease(self.config.lease_duration, asked.renewal, self.serials))
-            if asked.kind in ("would", "lease")
+            raw(Lease(self.config.lease_duration, quorum_round.renewal, self.serials))
+            if quorum_round.kind in ("would", "lease")
             else None
         )
-        answer = yield from self.peer_calls.send(voter, self.duty, asked.kind, asked.stamp, body, look)
-        if asked.kind == "lease" and answer is not None and answer.yes:
+        answer = yield from self.peer_calls.send(
+            voter, self.duty, quorum_round.kind, quorum_round.stamp, body, still_valid
+        )
+        if quorum_round.kind == "lease" and answer is not None and answer.yes:
             try:
                 self.serials[voter] = max(self.serials.get(voter, 0), GIVEN.decode(answer.body).serial)
             except msgspec.DecodeError:
-                pass  # the yes stands; its serial is told with the next
-        before = self.candidate.stage
-        then = self.candidate.record_answer(self.world.now(), asked, voter, answer)
-        if then is not None:
-            self._send(then)
-            if (
-                then.kind == "release" and before == "lease"
-            ):  # half a vote: others may hold the other half, and so again
-                self.split += 1
-                self.rests = self.world.now() + split_vote_backoff(self.duty, self.config.number, self.split)
-        if before != "owner" and self.candidate.stage == "owner":
-            self.group.spawn(self._own(self.candidate.stamp), f"own {self.duty}")
-
-    # The time as owner.
-
-    def _own(self, stamp: Stamp) -> Coro[None]:
-        term, why, self.why = terms.format_term(stamp.term), "the work ended", ""
+                pass  # the yes counts all the same; the serial comes with the next answer
+        previous_stage = self.candidate.stage
+        next_round = self.candidate.record_answer(self.world.now(), quorum_round, voter, answer)
+        if next_round is not None:
+            self._send_round(next_round)
+            # Split vote: other candidates may have got the other votes, and would again without a back-off.
+            if next_round.kind == "release" and previous_stage == "lease":
+                self.split_votes += 1
+                self.backoff_until = self.world.now() + split_vote_backoff(
+                    self.duty, self.config.number, self.split_votes
+                )
+        if previous_stage != "owner" and self.candidate.stage == "owner":
+            self.group.spawn(self._run_as_owner(self.candidate.stamp), f"own {self.duty}")
+
+    # The tenure as owner.
+
+    def _run_as_owner(self, stamp: Stamp) -> Coro[None]:
+        term, reason, self.end_reason = terms.format_term(stamp.term), "the work ended", ""
         self.log.info(
             "duty", word="owner", duty=self.duty, term=term, lease_ms=self.config.lease_duration / 10
         )
         with self.world.scope() as self.scope:
             try:
-                yield from self.world.group(lambda group: self._tenure(group, stamp))
+                yield from self.world.group(lambda group: self._run_tenure(group, stamp))
             except SteppedDown as error:
-                why = error.why
+                reason = error.why
             except (RecordTooLarge, RecordLost) as error:
-                why = str(error)
-                self.rests = self.world.now() + FAILURE_BACKOFF
-                self.log.error("duty_failed", duty=self.duty, term=term, why=why)
-            except BaseExceptionGroup as several:
-                if not all(isinstance(one, SteppedDown) for one in several.exceptions):
+                reason = str(error)
+                self.backoff_until = self.world.now() + FAILURE_BACKOFF
+                self.log.error("duty_failed", duty=self.duty, term=term, why=reason)
+            except BaseExceptionGroup as errors:
+                if not all(isinstance(error, SteppedDown) for error in errors.exceptions):
                     raise
-                why = "it stepped down"
-            except Exception as error:  # a fault in the work: another gateway may have better luck
-                why = f"the work broke: {error}"
-                self.rests = self.world.now() + FAILURE_BACKOFF
-                self.log.exception("duty_failed", duty=self.duty, term=term, why=why)
+                reason = "it stepped down"
+            except Exception as error:  # in the work: another gateway may succeed
+                reason = f"the work broke: {error}"
+                self.backoff_until = self.world.now() + FAILURE_BACKOFF
+                self.log.exception("duty_failed", duty=self.duty, term=term, why=reason)
         self.scope = None
-        why = self.why or why
+        reason = self.end_reason or reason
         if (
             self.candidate.stamp == stamp
-            and (release := self.candidate.step_down(self.world.now(), why)) is not None
+            and (release := self.candidate.step_down(self.world.now(), reason)) is not None
         ):
-            self._send(release)
-        self.log.info("duty", word="stepped down", duty=self.duty, term=term, why=why)
+            self._send_round(release)
+        self.log.info("duty", word="stepped down", duty=self.duty, term=term, why=reason)
 
-    def _tenure(self, group: Group, stamp: Stamp) -> Coro[None]:
+    def _run_tenure(self, group: Group, stamp: Stamp) -> Coro[None]:
         tenure = LeaseTenure(
             self.world, group, self.config, self.duty, stamp, self.peer_calls, self.candidate, self.step_down
         )
@@ -159,37 +170,38 @@
     def _renew(self, stamp: Stamp) -> Coro[None]:
         while True:
             yield from self.world.sleep(self.config.lease_duration // 3)
-            asked = self.candidate.renew(self.world.now())
-            if asked is None or asked.stamp != stamp:
+            quorum_round = self.candidate.renew(self.world.now())
+            if quorum_round is None or quorum_round.stamp != stamp:
                 return
-            self._send(asked)
+            self._send_round(quorum_round)
 
     def _watch(self, tenure: LeaseTenure) -> Coro[None]:
-        """Ends the tenure when its lease has run out, also after a pause of the whole process."""
+        """Ends the tenure when its lease has expired, also after a pause of the whole process."""
         while tenure.holds():
             yield from self.world.sleep(max(1, self.candidate.lease_until - self.world.now()))
         self.step_down(tenure.stamp, "its lease ran out")
 
-    def step_down(self, stamp: Stamp, why: str) -> None:
+    def step_down(self, stamp: Stamp, reason: str) -> None:
+        """Releases the lease held under `stamp`, if any, and cancels its tenure."""
         if (
             self.candidate.stamp == stamp
-            and (release := self.candidate.step_down(self.world.now(), why)) is not None
+            and (release := self.candidate.step_down(self.world.now(), reason)) is not None
         ):
-            self._send(release)
+            self._send_round(release)
         if self.scope is not None and self.candidate.stamp == stamp:
-            self.why = self.why or why
+            self.end_reason = self.end_reason or reason
             self.scope.cancel()
 
-    def outdone(self, stamp: Stamp) -> None:
-        """A higher term was heard of here."""
+    def observe_stamp(self, stamp: Stamp) -> None:
+        """Notes a term that is in use; steps down if it is higher than this owner's."""
         self.candidate.observe_stamp(stamp)
         if self.candidate.stage == "owner" and stamp.term > self.candidate.stamp.term:
             self.step_down(self.candidate.stamp, f"term {terms.format_term(stamp.term)} was heard of")
 
     def leave(self) -> None:
-        """The gateway ends: the duty is handed over at once, and not taken again."""
+        """The gateway shuts down: releases the lease at once and starts no further campaign."""
         self.leaving = True
         if self.candidate.stage == "owner":
             self.step_down(self.candidate.stamp, "the gateway ends")
         elif (release := self.candidate.step_down(self.world.now(), "the gateway ends")) is not None:
-            self._send(release)
+            self._send_round(release)
--- a/stackpitch/duties/carrier/peer_calls.py
+++ b/stackpitch/duties/carrier/peer_calls.py
@@ -1,4 +1,4 @@
-"""Calls to other gateways, each on a connection of its own and at most so many at once; to our own receiver without one."""
+"""Calls to other gateways: one connection per call, bounded concurrency; calls to this gateway stay local."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -16,11 +16,13 @@
 
 
 class PeerCalls:
-    """`counts`: calls by kind and what became of them; as many entries as there are kinds."""
+    """Sends calls. `counts`: calls by kind and result (yes, no, lost); at most three entries per kind."""
 
-    def __init__(self, world: World, config: DutiesConfig, here: Callable[[Call], Coro[Answer]]) -> None:
-        self.world, self.config, self.here = world, config, here
-        self.turns = Semaphore(world, config.max_calls)
+    def __init__(
+        self, world: World, config: DutiesConfig, handle_locally: Callable[[Call], Coro[Answer]]
+    ) -> None:
+        self.world, self.config, self.handle_locally = world, config, handle_locally
+        self.slots = Semaphore(world, config.max_calls)
         self.counts: Counter[tuple[str, str]] = Counter()
 
     def send(
@@ -30,9 +32,12 @@
         kind: str,
         stamp: Stamp = NO_TERM,
         body: Any = None,
-        look: Callable[[], bool] = lambda: True,
+        still_valid: Callable[[], bool] = lambda: True,
     ) -> Coro[Answer | None]:
-        """None if no answer came in time. `look`: taken right before the call leaves; False: it does not leave."""
+        """Sends a call; returns None if no answer came in time or the call was not sent.
+
+        `still_valid` is checked right before sending; if False, the call is not sent.
+        """
         config = self.config
         call = Call(
             FORM,
@@ -45,17 +50,17 @@
             body if isinstance(body, msgspec.Raw) else raw(body),
         )
         if number == config.number:
-            return (yield from self.here(call)) if look() else None
+            return (yield from self.handle_locally(call)) if still_valid() else None
         request = http.request("POST", "/duty", config.fleet, ENCODER.encode(call), [("connection", "close")])
-        yield from self.turns.acquire()  # bounded by the calls before it, each of which ends within its limit
+        yield from self.slots.acquire()  # each call in front of it ends within its timeout
         try:
-            if not look():
+            if not still_valid():
                 return None
             reader = yield from request_once(
                 self.world, config.addresses[number], config.call_timeout, request, LARGEST
             )
         finally:
-            self.turns.release()
+            self.slots.release()
         answer = None
         if reader is not None and reader.status == 200:
             try:
--- a/stackpitch/duties/carrier/receiver.py
+++ b/stackpitch/duties/carrier/receiver.py
@@ -1,4 +1,4 @@
-"""Where calls from other gateways come in: what is malformed, astray or from another fleet is dropped and counted."""
+"""Calls from other gateways; malformed or misdirected ones are dropped and counted."""
 
 from collections import Counter
 from typing import Any
@@ -16,29 +16,33 @@
 
 
 class CallReceiver:
-    """`dropped`: calls by why they were; as many entries as there are reasons. `owners`: of each duty, as last heard."""
+    """Validates incoming calls and dispatches them to the voting replica, the lease managers or the work.
+
+    `dropped`: counts by reason, one entry per reason. `owners`: the last known owner, at most one entry per
+    duty.
+    """
 
     def __init__(self, log: Any, config: DutiesConfig, fence: Fence, works: dict[str, Work]) -> None:
         self.log, self.config, self.fence, self.works = log, config, fence, works
         self.voter_service: VoterService | None = None
         self.lease_managers: dict[str, LeaseManager] = {}
         self.owners: dict[str, int] = {}
-        self.learned = False  # what terms were in service before this start (`learning`)
+        self.learned = False  # the terms in service before this start (see `learning`)
         self.dropped: Counter[str] = Counter()
 
-    def take(self, body: bytes) -> Coro[tuple[int, bytes]]:
-        """`POST /duty`: status and answer."""
+    def handle_request(self, body: bytes) -> Coro[tuple[int, bytes]]:
+        """Handles `POST /duty`; returns the status and the body of the response."""
         try:
             call = CALL.decode(body)
-            if (wrong := self._reason_to_drop(call)) is None:
+            if (reason := self._reason_to_drop(call)) is None:
                 return 200, ENCODER.encode((yield from self.handle(call)))
         except msgspec.DecodeError:
-            wrong = "malformed"
-        except Exception as fault:  # in a work: the gateway, and its other duties, go on
-            self.log.exception("duty_call_failed", why=str(fault))
-            wrong = "failed here"
-        self.dropped[wrong] += 1
-        return 400, msgspec.json.encode({"error": wrong})
+            reason = "malformed"
+        except Exception as error:  # in a duty's work: the gateway and its other duties go on
+            self.log.exception("duty_call_failed", why=str(error))
+            reason = "failed here"
+        self.dropped[reason] += 1
+        return 400, msgspec.json.encode({"error": reason})
 
     def _reason_to_drop(self, call: Call) -> str | None:
         config = self.config
@@ -56,15 +60,14 @@
             return "unknown sender"
         if call.duty not in config.names and (call.kind, call.duty) != ("state", ""):
             return "unknown duty"
-        known = (
-            0 <= terms.generation_of(call.stamp.term) < terms.MAX_GENERATIONS
-        )  # a higher one would shut out all that come
-        if not known or terms.owner_of(call.stamp.term) >= config.gateways:
+        # A term of an impossible generation would fence off all valid terms.
+        valid_generation = 0 <= terms.generation_of(call.stamp.term) < terms.MAX_GENERATIONS
+        if not valid_generation or terms.owner_of(call.stamp.term) >= config.gateways:
             return "malformed"
         return None
 
     def handle(self, call: Call) -> Coro[Answer]:
-        """A call for this gateway, its own ones too. Raises msgspec.DecodeError on a body that its kind doesn't have."""
+        """Answers a call, also of this gateway itself. Raises msgspec.DecodeError on a malformed body."""
         answer = yield from self._dispatch(call)
         if answer.word == "older term":
             self.log.warning(
@@ -90,12 +93,11 @@
             return lease_manager.on_vacancy(call)
         if call.stamp.term:  # an effect
             if not self.learned:
-                return Answer(
-                    "not yet"
-                )  # its sender tries again; voters that are all dead have no owner either
+                # The sender retries. Without a majority of voting replicas there is no owner either.
+                return Answer("not yet")
             if not self.fence.admits(call.duty, call.stamp):
                 return Answer("older term", self.fence.highest_stamp(call.duty))
-            lease_manager.outdone(call.stamp)
+            lease_manager.observe_stamp(call.stamp)
             self.owners[call.duty] = terms.owner_of(call.stamp.term)
             if call.kind == "owner":
                 work = self.works.get(call.duty)
--- a/stackpitch/duties/carrier/tenure.py
+++ b/stackpitch/duties/carrier/tenure.py
@@ -1,4 +1,4 @@
-"""What the work holds while its gateway owns the duty (`work.Tenure`): a look before each act, the record, effects."""
+"""`work.Tenure`, which a duty's work uses while its gateway is the owner: lease check, record, effects."""
 
 from collections.abc import Callable
 from typing import Any
@@ -17,7 +17,10 @@
 
 
 class LeaseTenure:
-    """`group`: that of the tenure; a round that is won goes on in it to those voters that are slower."""
+    """One tenure as owner of a duty.
+
+    `group` runs the calls; those of a round that has been won go on in it to slower voting replicas.
+    """
 
     def __init__(
         self,
@@ -35,23 +38,26 @@
         self.keeping = Keeping(duty, stamp, config.voters)
 
     def holds(self) -> bool:
+        """Whether the lease of this tenure's term is valid now."""
         return self.candidate.stamp == self.stamp and self.candidate.holds_lease(self.world.now())
 
-    def over(self, why: str) -> SteppedDown:
-        """Steps down, and gives what to raise."""
-        why = (
+    def end(self, reason: str) -> SteppedDown:
+        """Steps down; returns the exception to raise."""
+        reason = (
             self.candidate.end_reason
             if self.candidate.stamp == self.stamp and self.candidate.stage == "idle"
-            else why
+            else reason
         )
-        self.step_down(self.stamp, why)
-        return SteppedDown(self.duty, terms.format_term(self.stamp.term), why)
+        self.step_down(self.stamp, reason)
+        return SteppedDown(self.duty, terms.format_term(self.stamp.term), reason)
 
     def begin(self, known: Stamp) -> Coro[bytes]:
-        """Reads a majority's record and writes the newest back under our term. `known`: the newest stamp that was seen
-        in service here. Raises SteppedDown, RecordLost."""
-        asked = yield from self._won(lambda: self.keeping.read(self.world.now()), None)
-        self.keeping.found(asked)
+        """Reads the record from a majority and writes the newest back under this term; returns its value.
+
+        `known`: the highest stamp seen in service at this gateway. Raises SteppedDown, RecordLost.
+        """
+        quorum_round = yield from self._majority_round(lambda: self.keeping.read(self.world.now()), None)
+        self.keeping.found(quorum_round)
         lost = not self.keeping.kept.stamp.term and terms.generation_of(known.term) == self.config.generation
         if lost and known.term and known != self.stamp:
             raise RecordLost(self.duty, terms.format_term(known.term))
@@ -59,7 +65,7 @@
         return self.keeping.kept.value
 
     def keep(self, value: bytes) -> Coro[None]:
-        """Raises SteppedDown, RecordTooLarge."""
+        """Writes the record to a majority. Raises SteppedDown, RecordTooLarge."""
         self.keeping.want(value)
         yield from self._write()
 
@@ -67,38 +73,45 @@
         wanted = self.keeping.wanted
         assert wanted is not None, "only after a value was found or wanted"
         body = raw(wanted)
-        yield from self._won(lambda: Round("write", self.stamp, self.world.now(), self.config.voters), body)
+        yield from self._majority_round(
+            lambda: Round("write", self.stamp, self.world.now(), self.config.voters), body
+        )
         self.keeping.written(wanted)
 
-    def _won(self, make: Callable[[], Round], body: Any) -> Coro[Round]:
-        """Asks all voters until a majority says yes to one round. Raises SteppedDown."""
+    def _majority_round(self, make_round: Callable[[], Round], body: Any) -> Coro[Round]:
+        """Repeats a round to all voting replicas until a majority agrees. Raises SteppedDown."""
         while True:
-            asked = make()
-            yield from self._round(asked, body)
-            if asked.won:
-                return asked
+            quorum_round = make_round()
+            yield from self._send_round(quorum_round, body)
+            if quorum_round.won:
+                return quorum_round
             if not self.holds():
-                raise self.over("its lease ran out")
-            if asked.highest_term > self.stamp.term and asked.lost:
-                raise self.over(f"voters know term {terms.format_term(asked.highest_term)}")
+                raise self.end("its lease ran out")
+            if quorum_round.highest_term > self.stamp.term and quorum_round.lost:
+                raise self.end(f"voters know term {terms.format_term(quorum_round.highest_term)}")
             yield from self.world.sleep(ROUND_RETRY_DELAY)
 
-    def _round(self, asked: Round, body: Any) -> Coro[None]:
+    def _send_round(self, quorum_round: Round, body: Any) -> Coro[None]:
         task = self.world.current
 
-        def one(voter: int) -> Coro[None]:
+        def ask(voter: int) -> Coro[None]:
             answer = yield from self.peer_calls.send(
-                voter, self.duty, asked.kind, self.stamp, body, self.holds
+                voter, self.duty, quorum_round.kind, self.stamp, body, self.holds
             )
-            asked.record(voter, answer)
+            quorum_round.record(voter, answer)
             task.wake()
 
-        for voter in asked.voters:
-            self.group.spawn(one(voter), f"{asked.kind} {self.duty} {voter}")
-        while not asked.won and not asked.lost and len(asked.yes) + len(asked.no) < len(asked.voters):
+        for voter in quorum_round.voters:
+            self.group.spawn(ask(voter), f"{quorum_round.kind} {self.duty} {voter}")
+        while (
+            not quorum_round.won
+            and not quorum_round.lost
+            and len(quorum_round.yes) + len(quorum_round.no) < len(quorum_round.voters)
+        ):
             yield
 
     def tell(self, number: int, kind: str, body: Any) -> Coro[Answer | None]:
+        """Sends an effect of the work. Raises SteppedDown; ValueError if the lease protocol uses `kind`."""
         if kind in GROUND:
             raise ValueError(
                 f"a work's call of kind {kind!r}; allowed: any but the ground's own, {', '.join(sorted(GROUND))}"
@@ -106,10 +119,11 @@
         return (yield from self.effect(number, kind, body))
 
     def effect(self, number: int, kind: str, body: Any) -> Coro[Answer | None]:
+        """Sends an effect under this term; None if no answer came in time. Raises SteppedDown."""
         if not self.holds():
-            raise self.over("its lease ran out")
+            raise self.end("its lease ran out")
         answer = yield from self.peer_calls.send(number, self.duty, kind, self.stamp, body, self.holds)
         if answer is not None and answer.word == "older term":
             self.candidate.observe_stamp(answer.stamp)
-            raise self.over(f"gateway {number} knows term {terms.format_term(answer.stamp.term)}")
+            raise self.end(f"gateway {number} knows term {terms.format_term(answer.stamp.term)}")
         return answer
--- a/stackpitch/duties/carrier/voter_service.py
+++ b/stackpitch/duties/carrier/voter_service.py
@@ -1,4 +1,4 @@
-"""A voter's I/O: its file, how it comes to vote, one call after the other, and telling candidates of a vacancy."""
+"""The I/O of a voting replica: its file, joining the quorum, answering calls, notifying candidates."""
 
 from functools import partial
 from typing import Annotated, Any
@@ -15,17 +15,21 @@
 from stackpitch.duties.ownership.promise_store import Identity, PromiseStore
 from stackpitch.duties.ownership.terms import owner_of
 from stackpitch.duties.ownership.vacancy import CANDIDATE_SPACING, VacancyNotifier, candidate_order
-from stackpitch.duties.ownership.voting_replica import Promise, VotingReplica
+from stackpitch.duties.ownership.voter import Promise, VotingReplica
 from stackpitch.duties.record.register import Kept
 from stackpitch.loop import SECOND, Coro, Group, Semaphore, Task, Time, World
 
-QUEUE = "votes"  # of its file: a voter must not wait while gigabytes of weights are written
+# A separate queue of blocking calls, so that votes don't wait behind writes of gigabytes of weights.
+QUEUE = "votes"
 KINDS = frozenset({"would", "lease", "release", "read", "write"})
 
 
 class Lease(msgspec.Struct, frozen=True):
-    """What goes with a `would` or `lease`: ticks, which of its term's leases it is (0 with a `would`), and the voters'
-    serials as the asking side has heard them."""
+    """The body of a `would` or `lease` call.
+
+    `ticks`: the duration of the lease. `renewal`: its number within the term, 0 with a `would`. `serials`:
+    the highest serials that the candidate knows of the voting replicas.
+    """
 
     ticks: Annotated[Time, msgspec.Meta(gt=0)]
     renewal: Annotated[int, msgspec.Meta(ge=0)]
@@ -33,7 +37,7 @@
 
 
 class Given(msgspec.Struct, frozen=True):
-    """What goes with a voter's yes to a lease."""
+    """The body of a voting replica's yes to a lease: the serial of its writes."""
 
     serial: int
 
@@ -43,7 +47,11 @@
 
 
 class VoterService:
-    """`seen`: the highest serial heard of each other voter; as many entries as voters. Kept in the file as well."""
+    """Runs the voting replica of this gateway.
+
+    `seen`: the highest known serial of each other voting replica, at most one entry per replica; also in
+    the file.
+    """
 
     def __init__(
         self, world: World, group: Group, log: Any, config: DutiesConfig, peer_calls: PeerCalls
@@ -60,17 +68,18 @@
         self.joined = self.opened = False
         self.older = False  # its file turned out to be an older copy
         self.seen: dict[int, int] = {}
-        self.turns = Semaphore(world)
+        self.call_lock = Semaphore(world)
         self.vacancies = {
             duty: VacancyNotifier(candidate_order(duty, config.gateways)) for duty in config.names
         }
-        self.open: dict[str, bool] = {}  # duties whose vacancy has begun
-        self.teller: Task | None = None
-        self.trouble = ""
+        self.offered: dict[str, bool] = {}  # duties being offered to candidates; removed once leased
+        self.notifier_task: Task | None = None
+        self.disk_error = ""
 
-    # Coming to vote.
+    # Joining.
 
     def run(self) -> Coro[None]:
+        """Opens the file, joins the quorum, then reports vacancies. Returns after logging a VoterError."""
         try:
             yield from self.world.run_blocking(self.store.open, QUEUE)
         except VoterError as error:
@@ -84,15 +93,15 @@
             self.log.warning("voter_file", what=self.store.log.recovery_note)
         try:
             yield from self._join()
-            self.teller = self.world.current
-            yield from self._tell()
+            self.notifier_task = self.world.current
+            yield from self._notify_candidates()
         finally:
             self.store.close()
 
     def _join(self) -> Coro[None]:
-        said, begun = "", self.world.now()
+        logged_reason, started = "", self.world.now()
         while True:
-            decision = yield from self._asked()
+            decision = yield from self._ask_others()
             if decision.outcome == "learn":
                 self.older = True
                 self.log.warning("voter_older", why=str(FileOlder(self.config.file, decision.reason)))
@@ -106,70 +115,77 @@
                 ):
                     break
                 decision = Decision("wait", str(DiskFailed(self.config.file, self.store.log.error)))
-            if decision.reason != said and self.world.now() - begun > SECOND:
-                said = decision.reason
+            if decision.reason != logged_reason and self.world.now() - started > SECOND:
+                logged_reason = decision.reason
                 if decision.outcome == "lost":
-                    self.log.error("voter_waits", why=str(MajorityLost(self.config.file, said)))
+                    self.log.error("voter_waits", why=str(MajorityLost(self.config.file, logged_reason)))
                 else:
-                    self.log.warning("voter_waits", why=said)
+                    self.log.warning("voter_waits", why=logged_reason)
             yield from self.world.sleep(JOIN_INTERVAL)
         self.voter.promises = dict(self.store.promises)
-        if (
-            self.older or self.store.empty
-        ):  # whoever was granted a lease by what is lost has let it run out by then
+        # Any lease granted under lost or older promises has expired once this silence ends.
+        if self.older or self.store.empty:
             self.voter.silent_until = self.world.now() + voter_lease_duration(
                 self.config.lease_duration, self.config.max_clock_drift
             )
         self.joined = True
         self.log.info("voter_joins", serial=self.store.serial, duties=len(self.voter.promises))
 
-    def _asked(self) -> Coro[Decision]:
-        config, heard = self.config, dict[int, State]()
-        mine = self.state(0)
+    def _ask_others(self) -> Coro[Decision]:
+        config, states = self.config, dict[int, State]()
+        own = self.state(0)
 
-        def one(number: int) -> Coro[None]:
-            """Records come one by one, and only to a voter that has to fill itself."""
+        def ask(number: int) -> Coro[None]:
+            """Fetches records one by one, and only if this replica has to rebuild its file."""
             answer = yield from self.peer_calls.send(number, "", "state")
             if answer is None or not answer.yes:
                 return
             try:
                 state = STATE.decode(answer.body)
-                for duty in state.promises if mine.empty else ():
-                    part = yield from self.peer_calls.send(number, duty, "state")
-                    if part is None or not part.yes:
+                for duty in state.promises if own.empty else ():
+                    record = yield from self.peer_calls.send(number, duty, "state")
+                    if record is None or not record.yes:
                         return
-                    state.promises[duty] = PROMISE.decode(part.body)
+                    state.promises[duty] = PROMISE.decode(record.body)
             except msgspec.DecodeError:
-                return  # as if none had come
-            heard[number] = state
+                return  # treated as no answer
+            states[number] = state
 
         def body(group: Group) -> Coro[None]:
             yield from ()
             for number in config.voters:
                 if number != config.number:
-                    group.spawn(one(number), f"state {number}")
+                    group.spawn(ask(number), f"state {number}")
 
         yield from self.world.group(body)
-        self._hear(
-            {number: state.serial for number, state in heard.items() if state.generation == config.generation}
+        self._record_serials(
+            {
+                number: state.serial
+                for number, state in states.items()
+                if state.generation == config.generation
+            }
         )
-        whole = msgspec.structs.replace(mine, promises=self.store.promises)
-        return decide(config.voters, config.number, config.generation, whole, heard)
+        with_records = msgspec.structs.replace(own, promises=self.store.promises)
+        return decide(config.voters, config.number, config.generation, with_records, states)
+
+    def _record_serials(self, serials: dict[int, int]) -> None:
+        """Raises the known serials of the other voting replicas.
 
-    def _hear(self, serials: dict[int, int]) -> None:
-        """A voter's serial is told only once it is on disk, so the highest one heard holds whoever says it, and whatever
-        becomes of the call. A voter that has just started refuses leases for a while: without this it would know nothing of
-        another's last writes, and let an older copy of that one's file pass if it alone answered."""
+        A serial is sent only once it is on disk, so the highest one is valid whoever reports it and
+        whatever the call's result. A replica refuses leases for a while after its start; without reported
+        serials it would know nothing of another's last writes and would accept an older copy of that file
+        if it alone answered.
+        """
         for number in self.config.voters:
             if number != self.config.number and serials.get(number, 0) > self.seen.get(number, 0):
                 self.seen[number] = serials[number]
 
     def state(self, asker: int) -> State:
-        """Without the records' values: they may be large together."""
+        """The state for a joining replica, without the records' values, which may be large in total."""
         empty = not self.joined and (self.older or self.store.empty)
         promises = {
-            name: msgspec.structs.replace(one, kept=msgspec.structs.replace(one.kept, value=b""))
-            for name, one in self.store.promises.items()
+            name: msgspec.structs.replace(promise, kept=msgspec.structs.replace(promise.kept, value=b""))
+            for name, promise in self.store.promises.items()
         }
         return State(
             self.config.generation,
@@ -180,10 +196,10 @@
             promises,
         )
 
-    # VoterService.
+    # Answering calls.
 
     def answer(self, call: Call) -> Coro[Answer]:
-        """One after the other; what an answer rests on is on disk before it leaves."""
+        """Answers calls one at a time; what an answer depends on is on disk before it is sent."""
         if call.kind == "state":
             if not self.opened:
                 return Answer("not open yet")
@@ -192,23 +208,22 @@
             return Answer("yes", body=raw(self.state(call.sender)))
         if not self.joined:
             return Answer("not voting yet")
-        yield from self.turns.acquire()
+        yield from self.call_lock.acquire()
         try:
-            answer = self._decided(call)
-            if self.voter.unsaved and answer.yes and not (yield from self._saved()):
+            answer = self._decide(call)
+            if self.voter.unsaved and answer.yes and not (yield from self._save()):
                 return Answer("disk")
-            if (
-                self.seen != self.store.seen
-            ):  # a failing disk takes no lease away for it; written with what comes next
+            # A failed write of the serials doesn't refuse the lease; they are written with the next call.
+            if self.seen != self.store.seen:
                 yield from self.world.run_blocking(partial(self.store.save_seen, dict(self.seen)), QUEUE)
-                self._disk()
+                self._log_disk_state()
         finally:
-            self.turns.release()
+            self.call_lock.release()
         if call.kind == "lease" and answer.yes:
             return Answer("yes", answer.stamp, raw(Given(self.store.durable_serial)))
         return answer
 
-    def _decided(self, call: Call) -> Answer:
+    def _decide(self, call: Call) -> Answer:
         now, voter = self.world.now(), self.voter
         if call.kind == "read":
             return voter.read(call.duty, call.stamp)
@@ -216,83 +231,83 @@
             return voter.write(call.duty, call.stamp, KEPT.decode(call.body))
         if call.kind == "release":
             answer = voter.release(now, call.duty, call.stamp)
-            self._wake()
+            self._wake_notifier()
             return answer
-        asked = LEASE.decode(call.body)
-        self._hear(asked.serials)
+        request = LEASE.decode(call.body)
+        self._record_serials(request.serials)
         if call.kind == "would":
-            return voter.pre_vote(now, call.duty, call.stamp, asked.ticks)
-        answer = voter.grant(now, call.duty, call.stamp, asked.ticks, asked.renewal)
+            return voter.pre_vote(now, call.duty, call.stamp, request.ticks)
+        answer = voter.grant(now, call.duty, call.stamp, request.ticks, request.renewal)
         if answer.yes:
-            self.open.pop(call.duty, None)
+            self.offered.pop(call.duty, None)
         return answer
 
-    def _saved(self) -> Coro[bool]:
-        wanted = {duty: self.voter.promises[duty] for duty in self.voter.unsaved}
+    def _save(self) -> Coro[bool]:
+        unsaved = {duty: self.voter.promises[duty] for duty in self.voter.unsaved}
 
         def write() -> bool:
-            return all([self.store.save(duty, promise) for duty, promise in wanted.items()])
+            return all([self.store.save(duty, promise) for duty, promise in unsaved.items()])
 
-        done = yield from self.world.run_blocking(write, QUEUE)
-        if done:
-            for duty, promise in wanted.items():
+        saved = yield from self.world.run_blocking(write, QUEUE)
+        if saved:
+            for duty, promise in unsaved.items():
                 if self.voter.promises[duty] == promise:
                     self.voter.unsaved.pop(duty, None)
-        self._disk()
-        return done
-
-    def _disk(self) -> None:
-        if self.store.log.error != self.trouble:
-            self.trouble = self.store.log.error
-            if self.trouble:
-                self.log.error("voter_disk", why=str(DiskFailed(self.config.file, self.trouble)))
+        self._log_disk_state()
+        return saved
+
+    def _log_disk_state(self) -> None:
+        if self.store.log.error != self.disk_error:
+            self.disk_error = self.store.log.error
+            if self.disk_error:
+                self.log.error("voter_disk", why=str(DiskFailed(self.config.file, self.disk_error)))
             else:
                 self.log.info("voter_disk_good")
 
     # Vacancies.
 
-    def _wake(self) -> None:
-        if self.teller is not None:
-            self.teller.wake()
+    def _wake_notifier(self) -> None:
+        if self.notifier_task is not None:
+            self.notifier_task.wake()
 
-    def _tell(self) -> Coro[None]:
-        """Whom to call and when is the vacancy's matter."""
+    def _notify_candidates(self) -> Coro[None]:
+        """Notifies candidates as the duties' `VacancyNotifier`s schedule it."""
         while True:
             now, due = self.world.now(), self.world.now() + SECOND
             for duty, vacancy in self.vacancies.items():
                 if not self.voter.is_vacant(now, duty):
-                    running = self.voter.leases.get(duty)
-                    due = min(due, max(self.voter.silent_until, running.until if running is not None else 0))
-                    self.open.pop(duty, None)
+                    lease = self.voter.leases.get(duty)
+                    due = min(due, max(self.voter.silent_until, lease.until if lease is not None else 0))
+                    self.offered.pop(duty, None)
                     continue
-                if duty not in self.open:
-                    self.open[duty] = True
+                if duty not in self.offered:
+                    self.offered[duty] = True
                     term = self.voter.promise_of(duty).stamp.term
                     vacancy.start(now, owner_of(term) if term else None)
-                told = vacancy.next_candidates(now)
-                if told:
-                    self.group.spawn(self._told(duty, vacancy, told), f"vacant {duty}")
+                notified = vacancy.next_candidates(now)
+                if notified:
+                    self.group.spawn(self._notify(duty, vacancy, notified), f"vacant {duty}")
                 due = min(due, vacancy.due)
             yield from self.world.sleep(max(1, due - self.world.now()))
 
-    def _told(self, duty: str, vacancy: VacancyNotifier, numbers: list[int]) -> Coro[None]:
-        """If none of them is there, the next ones are told at once."""
-        known, there = self.voter.promise_of(duty).stamp, list[bool]()
+    def _notify(self, duty: str, vacancy: VacancyNotifier, numbers: list[int]) -> Coro[None]:
+        """Notifies candidates of a vacancy; if none is reachable, the next step is due at once."""
+        known, reachable = self.voter.promise_of(duty).stamp, list[bool]()
 
-        def one(number: int, place: int) -> Coro[None]:
-            yield from self.world.sleep(place * CANDIDATE_SPACING)
-            if duty in self.open:
+        def notify(number: int, position: int) -> Coro[None]:
+            yield from self.world.sleep(position * CANDIDATE_SPACING)
+            if duty in self.offered:
                 answer = yield from self.peer_calls.send(number, duty, "vacant", known)
-                there.append(answer is not None)
+                reachable.append(answer is not None)
 
         def body(group: Group) -> Coro[None]:
             yield from ()
-            for place, number in enumerate(numbers):
-                group.spawn(one(number, place), f"vacant {number}")
+            for position, number in enumerate(numbers):
+                group.spawn(notify(number, position), f"vacant {number}")
 
         yield from self.world.group(body)
-        if not any(there) and duty in self.open and vacancy.skip_wait(self.world.now()):
-            self._wake()
+        if not any(reachable) and duty in self.offered and vacancy.skip_wait(self.world.now()):
+            self._wake_notifier()
 
 
 __all__ = ["KINDS", "Lease", "VoterService"]
--- a/stackpitch/duties/ownership/candidate.py
+++ b/stackpitch/duties/ownership/candidate.py
@@ -2,8 +2,8 @@
 
     idle -> would (pre-vote: changes nothing at the voting replicas) -> lease -> owner -> idle
 
-A campaign starts only when a voting replica reports a vacancy, so a gateway that returns from a network partition
-doesn't disturb the current owner.
+A campaign starts only when a voting replica reports a vacancy, so a gateway that returns from a network
+partition doesn't disturb the current owner.
 """
 
 from stackpitch.duties.calls import Answer, Stamp
@@ -94,8 +94,8 @@
     def step_down(self, now: Time, reason: str) -> Round | None:
         """Ends the lease or the campaign; returns the release to send, None if nothing may have been granted.
 
-        Thanks to the release the next owner needn't wait for the lease to expire. It can't end a later owner's
-        lease, as voting replicas release only a lease under the same stamp.
+        Thanks to the release the next owner needn't wait for the lease to expire. It can't end a later
+        owner's lease, as voting replicas release only a lease under the same stamp.
         """
         if self.stage == "idle":
             return None
--- a/stackpitch/duties/ownership/fence.py
+++ b/stackpitch/duties/ownership/fence.py
@@ -12,8 +12,8 @@
     def admits(self, duty: str, stamp: Stamp) -> bool:
         """Whether an effect under `stamp` may be applied; a newer term fences off all older ones.
 
-        The same term from another start of the process is rejected too: a voting replica that lost its file may
-        have granted it to both, and which of them came later is unknown.
+        The same term from another start of the process is rejected too: a voting replica that lost its file
+        may have granted it to both, and which of them came later is unknown.
         """
         known = self.highest.get(duty, Stamp())
         if stamp.term > known.term:
--- a/stackpitch/duties/ownership/joining.py
+++ b/stackpitch/duties/ownership/joining.py
@@ -1,9 +1,10 @@
 """When a voting replica may vote after a start. Its file alone doesn't show that it is complete and current.
 
-A replica with a file asks the others whether they know of later writes than the file holds. It needs as many answers as
-make a majority with itself; with fewer reachable its vote couldn't decide anything anyway. A replica without a file, or
-with an older copy, learns from a majority of the others. Replicas that all have no file start a new fleet together, only
-once every one of them has answered. A new generation starts the same way, from what the previous one's files still hold.
+A replica with a file asks the others whether they know of later writes than the file holds. It needs as
+many answers as make a majority with itself; with fewer reachable its vote couldn't decide anything anyway.
+A replica without a file, or with an older copy, learns from a majority of the others. Replicas that all
+have no file start a new fleet together, only once every one of them has answered. A new generation starts
+the same way, from what the previous one's files still hold.
 """
 
 from dataclasses import dataclass
@@ -12,7 +13,7 @@
 
 from stackpitch.duties.ownership.rounds import majority
 from stackpitch.duties.ownership.terms import generation_of
-from stackpitch.duties.ownership.voting_replica import Promise
+from stackpitch.duties.ownership.voter import Promise
 from stackpitch.duties.record.register import newest
 
 # Serials of a rebuilt file start this far above the highest that the others know of the lost file. From 0 the
@@ -39,8 +40,8 @@
 class Decision:
     """Whether a joining replica may vote, and why.
 
-    `outcome`: "vote" (from `promises`), "learn" (the file is an older copy), "lost" (an operator has to decide),
-    or "wait".
+    `outcome`: "vote" (from `promises`), "learn" (the file is an older copy), "lost" (an operator has to
+    decide), or "wait".
     """
 
     outcome: str
@@ -99,9 +100,9 @@
             promises=merge_promises([own.promises, *(state.promises for state in others.values())]),
             serial=known_serial + SERIAL_GAP if known_serial else 0,
         )
-    if len(others) == len(voters) - 1 and sum(state.empty for state in others.values()) + 1 >= quorum:
+    if len(others) == len(voters) - 1 and sum(other.empty for other in others.values()) + 1 >= quorum:
         return Decision(
             "lost",
-            f"{sum(state.empty for state in others.values()) + 1} of {len(voters)} voters have no file",
+            f"{sum(other.empty for other in others.values()) + 1} of {len(voters)} voters have no file",
         )
     return Decision("wait", f"{len(joined)} of {quorum} other voters that vote answered")
--- a/stackpitch/duties/ownership/promise_store.py
+++ b/stackpitch/duties/ownership/promise_store.py
@@ -1,15 +1,15 @@
 """The file of a voting replica: its identity and promises, in a log that survives a crash at any byte.
 
-Calls block: run them on a worker thread. A lock file keeps a second process out. `serial` counts the promises written
-over the file's life; the other voting replicas store the highest serial that they know of it, and so detect an older
-copy of the file, even after all of them have restarted.
+Calls block: run them on a worker thread. A lock file keeps a second process out. `serial` counts the
+promises written over the file's life; the other voting replicas store the highest serial that they know of
+it, and so detect an older copy of the file, even after all of them have restarted.
 """
 
 import msgspec
 
 from stackpitch.durable.log import Log
 from stackpitch.duties.ownership.errors import FileOfAnother, FileTaken, FileUnreadable
-from stackpitch.duties.ownership.voting_replica import Promise
+from stackpitch.duties.ownership.voter import Promise
 from stackpitch.loop import Files
 
 MAGIC, FORMAT = b"stackpitch voter\n", 1
@@ -18,9 +18,9 @@
 class Identity(msgspec.Struct, frozen=True, tag="voter"):
     """Whose file it is.
 
-    `generation`: the one in which its promises are valid; promises of an older one are only reported to others.
-    `seen`: the highest known serials of the other voting replicas. It is a field of this entry so that versions
-    without it can still read the file.
+    `generation`: the one in which its promises are valid; promises of an older one are only reported to
+    others. `seen`: the highest known serials of the other voting replicas. It is a field of this entry so
+    that versions without it can still read the file.
     """
 
     fleet: str
@@ -128,7 +128,8 @@
     def save_seen(self, seen: dict[int, int]) -> bool:
         """Writes the other voting replicas' serials; returns whether they are on disk.
 
-        This doesn't raise `serial`: otherwise replicas that report their writes to each other would never stop.
+        This doesn't raise `serial`: otherwise replicas that report their writes to each other would never
+        stop.
         """
         self.seen = seen
         return self._mark_durable(self.log.add(ENCODER.encode(self._identity_entry())))
--- a/stackpitch/duties/ownership/terms.py
+++ b/stackpitch/duties/ownership/terms.py
@@ -1,6 +1,7 @@
 """Terms (fencing tokens): integers that only rise.
 
-A term is made of a generation, a counter and its candidate's gateway number, so two candidates never request the same.
+A term is made of a generation, a counter and its candidate's gateway number, so two candidates never
+request the same.
 """
 
 NUMBER_BITS = 10  # bits of `module.number`: up to 1,024 gateways
--- a/stackpitch/duties/ownership/vacancy.py
+++ b/stackpitch/duties/ownership/vacancy.py
@@ -1,7 +1,7 @@
 """Which candidates a voting replica notifies of a vacant duty, and when: few at first, then more.
 
-Candidates wait for a notification, so an idle fleet sends nothing and a vacancy starts one campaign rather than
-one per gateway. All voting replicas use the same order; it differs between duties, which spreads them.
+Candidates wait for a notification, so an idle fleet sends nothing and a vacancy starts one campaign rather
+than one per gateway. All voting replicas use the same order; it differs between duties, which spreads them.
 """
 
 from dataclasses import dataclass
@@ -12,7 +12,8 @@
 STEP_INTERVAL: Time = 1200  # ticks between two steps; a campaign takes two round trips to the voting replicas
 # Between candidates notified in one step, so that the first one's campaign ends before the next begins.
 CANDIDATE_SPACING: Time = 30 * MS
-# Candidates notified in one step: over all steps a vacancy costs the fleet some calls per gateway, spread out.
+# Candidates notified in one step: over all steps a vacancy costs the fleet some calls per gateway, spread
+# out.
 MAX_PER_STEP = 16
 MAX_STEP_INTERVAL: Time = 20_000  # ticks; the interval doubles after each pass over all candidates
 
--- a/stackpitch/duties/ownership/voting_replica.py
+++ b/stackpitch/duties/ownership/voter.py
@@ -1,8 +1,8 @@
 """One voting replica ("voter"): its promises, the leases that it granted, and its answers.
 
-Its durable state is a `Promise` per duty: the highest term granted and the duty's record, on disk before any answer that
-depends on it. Leases are kept in memory only: after a start the replica grants nothing to a new candidate for as long as
-an earlier lease could still be valid.
+Its durable state is a `Promise` per duty: the highest term granted and the duty's record, on disk before
+any answer that depends on it. Leases are kept in memory only: after a start the replica grants nothing to a
+new candidate for as long as an earlier lease could still be valid.
 """
 
 from dataclasses import dataclass, field
@@ -43,8 +43,8 @@
 class RenewalProgress:
     """The latest renewal seen of a term. One per duty; a later term replaces it, a restart empties the table.
 
-    Guards against repeated and delayed calls: a lease call that arrives a second time would extend the lease of a
-    dead owner. After a restart each such call extends a lease by at most one lease duration.
+    Guards against repeated and delayed calls: a lease call that arrives a second time would extend the
+    lease of a dead owner. After a restart each such call extends a lease by at most one lease duration.
     """
 
     stamp: Stamp
@@ -56,9 +56,9 @@
 class VotingReplica:
     """A voting replica's state machine.
 
-    `max_lease`: the longest lease that it grants, in ticks. `max_clock_drift`: of a clock against true time, as a
-    fraction. `silent_until`: until then a lease granted before the restart may still be valid, so no new candidate
-    is granted one.
+    `max_lease`: the longest lease that it grants, in ticks. `max_clock_drift`: of a clock against true
+    time, as a fraction. `silent_until`: until then a lease granted before the restart may still be valid,
+    so no new candidate is granted one.
     """
 
     max_lease: Time
--- a/stackpitch/rehearse/broken/owners.py
+++ b/stackpitch/rehearse/broken/owners.py
@@ -7,7 +7,7 @@
 from stackpitch.duties.ownership.candidate import Candidate
 from stackpitch.duties.ownership.fence import Fence
 from stackpitch.duties.ownership.joining import Decision, State
-from stackpitch.duties.ownership.voting_replica import VotingReplica
+from stackpitch.duties.ownership.voter import VotingReplica
 from stackpitch.loop import Time
 
 
--- a/stackpitch/rehearse/exploring/state.py
+++ b/stackpitch/rehearse/exploring/state.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from stackpitch.duties.calls import Stamp
-from stackpitch.duties.ownership.voting_replica import Promise
+from stackpitch.duties.ownership.voter import Promise
 
 LEASE = 3  # of an owner, in ticks; a voter keeps it for `voter_lease_duration`, 6
 STEP = 3  # by which time passes: an owner's lease is over after one, a voter's after two
--- a/stackpitch/rehearse/exploring/voters.py
+++ b/stackpitch/rehearse/exploring/voters.py
@@ -5,7 +5,7 @@
 from stackpitch.duties.calls import Answer
 from stackpitch.duties.ownership.joining import merge_promises
 from stackpitch.duties.ownership.lease import voter_lease_duration
-from stackpitch.duties.ownership.voting_replica import GrantedLease, Promise, RenewalProgress, VotingReplica
+from stackpitch.duties.ownership.voter import GrantedLease, Promise, RenewalProgress, VotingReplica
 from stackpitch.duties.record.keeping import of
 from stackpitch.duties.record.register import Kept
 from stackpitch.rehearse.exploring.state import LEASE, NONE, NOW, Ask, Paper, Said, Seat, paper, stamp
--- a/tests/duties_life.py
+++ b/tests/duties_life.py
@@ -14,7 +14,7 @@
 from stackpitch.duties.ownership.lease import voter_lease_duration
 from stackpitch.duties.ownership.rounds import Round
 from stackpitch.duties.ownership.vacancy import VacancyNotifier, candidate_order
-from stackpitch.duties.ownership.voting_replica import VotingReplica
+from stackpitch.duties.ownership.voter import VotingReplica
 from stackpitch.duties.record.keeping import Keeping
 
 DUTY, LEASE, CALL, DRIFT = "weights", 10_000, 1_500, 0.01
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -10,7 +10,7 @@
 from duties_stage import LEASE_MS, ROOT, Fleet, number_of, order
 
 from stackpitch.duties.calls import FORM
-from stackpitch.duties.ownership.voting_replica import Promise
+from stackpitch.duties.ownership.voter import Promise
 
 
 def promises(fleet, but=()):
--- a/tests/test_duties_pure.py
+++ b/tests/test_duties_pure.py
@@ -17,7 +17,7 @@
 from stackpitch.duties.ownership.promise_store import Identity, PromiseStore
 from stackpitch.duties.ownership.terms import format_term, next_term, owner_of
 from stackpitch.duties.ownership.vacancy import VacancyNotifier, candidate_order
-from stackpitch.duties.ownership.voting_replica import Promise, VotingReplica
+from stackpitch.duties.ownership.voter import Promise, VotingReplica
 from stackpitch.duties.record.keeping import of
 from stackpitch.duties.record.register import Kept
 from stackpitch.loop import MS, RealFiles
