--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -62,7 +62,9 @@
     stop = world.signals(signal.SIGTERM)
 
     def body(group: Group) -> Coro[None]:
-        group.spawn(Admin(world, {}, {"/duty": duties.take}, Duties.LARGEST).serve(group, listener), "admin")
+        group.spawn(
+            Admin(world, {}, {"/duty": duties.handle_request}, Duties.LARGEST).serve(group, listener), "admin"
+        )
         group.spawn(duties.run(), "duties")
         yield from stop()
         yield from duties.leave()
@@ -322,7 +324,7 @@
                 for number in range(3):
                     one = figures(number, 3, 3, os.path.join(temporary, str(number)), ports)
                     duties = made[number] = Duties(world, QUIET, one, [works[number]])  # type: ignore[list-item]
-                    admin = Admin(world, {}, {"/duty": duties.take}, Duties.LARGEST)
+                    admin = Admin(world, {}, {"/duty": duties.handle_request}, Duties.LARGEST)
                     group.spawn(admin.serve(group, world.listen(one.addresses[number])), "admin")
                     group.spawn(duties.run(), "duties")
                 while not any(len(one.took) == times for one in works):
--- a/stackpitch/duties/carrier/duties.py
+++ b/stackpitch/duties/carrier/duties.py
@@ -43,7 +43,9 @@
             yield from self.world.group(self._body)
         except Exception as error:
             self.log.exception(
-                "duties_broke", why=str(error), meaning="it serves on without duties until restarted"
+                "duties_broke",
+                why=str(error),
+                meaning="the gateway serves requests without duties until restarted",
             )
 
     def _body(self, group: Group) -> Coro[None]:
@@ -80,7 +82,8 @@
                 while self.peer_calls.slots.in_use or any(manager.scope is not None for manager in active):
                     yield from self.world.sleep(5 * MS)
 
-    def take(self, body: bytes) -> Coro[tuple[int, bytes]]:
+    def handle_request(self, body: bytes) -> Coro[tuple[int, bytes]]:
+        """Handles `POST /duty`; returns the status and the body of the response."""
         return (yield from self.receiver.handle_request(body))
 
     def counts(self) -> Counter[tuple[str, str]]:
@@ -92,7 +95,9 @@
     # The methods of `work.Ground`.
 
     def owner(self, duty: str) -> int | None:
+        """The last known owner of the duty; may be out of date."""
         return self.receiver.owners.get(duty)
 
     def ask(self, number: int, duty: str, kind: str, body: Any) -> Coro[Answer | None]:
+        """Sends a call without a term, such as a report; None if no answer came in time."""
         return (yield from self.peer_calls.send(number, duty, kind, body=body))
--- a/stackpitch/duties/carrier/lease_manager.py
+++ b/stackpitch/duties/carrier/lease_manager.py
@@ -132,11 +132,11 @@
                 self.backoff_until = self.world.now() + FAILURE_BACKOFF
                 self.log.error("duty_failed", duty=self.duty, term=term, why=reason)
             except BaseExceptionGroup as errors:
-                if not all(isinstance(error, SteppedDown) for error in errors.exceptions):
+                if not all(isinstance(nested, SteppedDown) for nested in errors.exceptions):
                     raise
                 reason = "it stepped down"
             except Exception as error:  # in the work: another gateway may succeed
-                reason = f"the work broke: {error}"
+                reason = f"the work failed: {error}"
                 self.backoff_until = self.world.now() + FAILURE_BACKOFF
                 self.log.exception("duty_failed", duty=self.duty, term=term, why=reason)
         self.scope = None
@@ -202,6 +202,6 @@
         """The gateway shuts down: releases the lease at once and starts no further campaign."""
         self.leaving = True
         if self.candidate.stage == "owner":
-            self.step_down(self.candidate.stamp, "the gateway ends")
-        elif (release := self.candidate.step_down(self.world.now(), "the gateway ends")) is not None:
+            self.step_down(self.candidate.stamp, "the gateway shuts down")
+        elif (release := self.candidate.step_down(self.world.now(), "the gateway shuts down")) is not None:
             self._send_round(release)
--- a/stackpitch/duties/carrier/tenure.py
+++ b/stackpitch/duties/carrier/tenure.py
@@ -114,7 +114,7 @@
         """Sends an effect of the work. Raises SteppedDown; ValueError if the lease protocol uses `kind`."""
         if kind in GROUND:
             raise ValueError(
-                f"a work's call of kind {kind!r}; allowed: any but the ground's own, {', '.join(sorted(GROUND))}"
+                f"a work can't send calls of kind {kind!r}; reserved kinds: {', '.join(sorted(GROUND))}"
             )
         return (yield from self.effect(number, kind, body))
 
--- a/stackpitch/duties/ownership/candidate.py
+++ b/stackpitch/duties/ownership/candidate.py
@@ -80,7 +80,7 @@
                     None,
                 )
                 if not self.holds_lease(now):
-                    return self.step_down(now, "the answers came after the lease")
+                    return self.step_down(now, "the answers came after the lease had expired")
             elif quorum_round.lost:
                 return self.step_down(now, "no majority granted it")
         elif quorum_round.kind == "lease" and self.stage == "owner" and quorum_round.won:
--- a/stackpitch/duties/ownership/errors.py
+++ b/stackpitch/duties/ownership/errors.py
@@ -4,7 +4,7 @@
 class SteppedDown(Exception):
     """The lease of this gateway has ended: it must not act under that term any more."""
 
-    remedy = "Nothing: another gateway goes on, or this one under a new term."
+    remedy = "Nothing: another gateway continues, or this one under a new term."
 
     def __init__(self, duty: str, term: str, why: str) -> None:
         self.duty, self.term, self.why = duty, term, why
@@ -33,35 +33,31 @@
 class FileOfAnother(VoterError):
     """The file belongs to another voting replica or fleet."""
 
-    remedy = "Give this gateway its own duties.file; a new one fills itself from the other voters."
+    remedy = "Give this gateway its own duties.file; a new one is filled from the other voters."
 
 
 class FileUnreadable(VoterError):
     """The file could not be opened, locked or read."""
 
-    remedy = (
-        "Mend the disk or the rights of the folder of duties.file; what could not be read is kept beside it."
-    )
+    remedy = "Repair the disk or the permissions of the directory of duties.file; what could not be read is kept next to it."
 
 
 class FileOlder(VoterError):
     """The file is an older copy: other voting replicas have seen later writes of it."""
 
-    remedy = "Nothing: it is filled anew from the other voters. Don't bring voters' files back from copies."
+    remedy = "Nothing: it is rebuilt from the other voters. Don't restore voters' files from copies."
 
 
 class MajorityLost(VoterError):
     """A majority of the voting replicas lost their files; only an operator can decide how to go on."""
 
     remedy = (
-        "Bring a lost file back from the disk it was on; if it can't be, raise duties.generation at all gateways: then "
-        "what the voters still have counts, and the newest records may be gone."
+        "Restore a lost file from the disk it was on; if that is impossible, raise duties.generation at all gateways: "
+        "then what the voters still have counts, and the newest records may be lost."
     )
 
 
 class DiskFailed(VoterError):
     """The file could not be written."""
 
-    remedy = (
-        "Make room on the disk of duties.file or mend it; this voter answers again as soon as it can write."
-    )
+    remedy = "Free space on the disk of duties.file or repair it; this voter answers again as soon as it can write."
--- a/stackpitch/duties/ownership/joining.py
+++ b/stackpitch/duties/ownership/joining.py
@@ -105,4 +105,4 @@
             "lost",
             f"{sum(other.empty for other in others.values()) + 1} of {len(voters)} voters have no file",
         )
-    return Decision("wait", f"{len(joined)} of {quorum} other voters that vote answered")
+    return Decision("wait", f"{len(joined)} of {quorum} other joined voters answered")
--- a/stackpitch/gateway/duties.py
+++ b/stackpitch/gateway/duties.py
@@ -40,7 +40,7 @@
 ) -> Duties:
     """The duties, with what the door and the admin port give them and are given by them."""
     made = Duties(world, log, figures(settings))
-    admin.body_handlers["/duty"], admin.max_body = made.take, made.LARGEST
+    admin.body_handlers["/duty"], admin.max_body = made.handle_request, made.LARGEST
     admits: Callable[[str], bool] = _any
     if settings.duties.vocabulary is not None:
         admits = _vocabulary(world, settings, log, host, made, door, admin)
--- a/tests/test_announced.py
+++ b/tests/test_announced.py
@@ -68,7 +68,8 @@
 
         def body(group):
             group.spawn(
-                Admin(world, {}, {"/duty": duties.take}, Duties.LARGEST).serve(group, listener), "admin"
+                Admin(world, {}, {"/duty": duties.handle_request}, Duties.LARGEST).serve(group, listener),
+                "admin",
             )
             group.spawn(duties.run(), "duties")
             yield from world.sleep(1000 * SECOND)
