--- a/stackpitch/duties/ownership/errors.py
+++ b/stackpitch/duties/ownership/errors.py
@@ -45,7 +45,7 @@
 class FileOlder(VoterError):
     """The file is an older copy: other voting replicas have seen later writes of it."""
 
-    remedy = "Nothing: it is rebuilt from the other voters. Don't restore voters' files from copies."
+    remedy = "Nothing: it is rebuilt from the other voters. Don't bring voters' files back from copies."
 
 
 class MajorityLost(VoterError):
