--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -26,8 +26,8 @@
 from rich.table import Table
 
 from benchmarks.bed import free_port
-from stackpitch.duties.carrier import Duties, Figures
-from stackpitch.duties.carrier.tenure import OwnTenure
+from stackpitch.duties.carrier import Duties, DutiesConfig
+from stackpitch.duties.carrier.tenure import LeaseTenure
 from stackpitch.gateway.admin import Admin
 from stackpitch.loop import MS, SECOND, Coro, Group, RealWorld, World
 from stackpitch.loop.virtual import VirtualWorld
@@ -38,8 +38,8 @@
 )
 
 
-def figures(number: int, gateways: int, voters: int, file: str, ports: Sequence[int]) -> Figures:
-    return Figures(
+def figures(number: int, gateways: int, voters: int, file: str, ports: Sequence[int]) -> DutiesConfig:
+    return DutiesConfig(
         "hall",
         number,
         tuple(("127.0.0.1", ports[one]) for one in range(gateways)),
@@ -55,14 +55,16 @@
     )
 
 
-def gateway(world: World, one: Figures, made: dict[int, Duties]) -> Coro[None]:
+def gateway(world: World, one: DutiesConfig, made: dict[int, Duties]) -> Coro[None]:
     """Duties and their port, and nothing else of a gateway."""
     duties = made[one.number] = Duties(world, QUIET, one)
     listener = world.listen(one.addresses[one.number])
     stop = world.signals(signal.SIGTERM)
 
     def body(group: Group) -> Coro[None]:
-        group.spawn(Admin(world, {}, {"/duty": duties.take}, Duties.LARGEST).serve(group, listener), "admin")
+        group.spawn(
+            Admin(world, {}, {"/duty": duties.handle_request}, Duties.LARGEST).serve(group, listener), "admin"
+        )
         group.spawn(duties.run(), "duties")
         yield from stop()
         yield from duties.leave()
@@ -74,7 +76,7 @@
 def sent(made: dict[int, Duties]) -> Counter[str]:
     total: Counter[str] = Counter()
     for duties in made.values():
-        for (kind, end), count in duties.posts.counts.items():
+        for (kind, end), count in duties.peer_calls.counts.items():
             total[kind] += count
             total["lost"] += count * (end == "lost")
     return total
@@ -85,8 +87,8 @@
         (
             number
             for number, one in made.items()
-            if one.desk.ownings["weights"].candidate.stage == "owner"
-            and one.desk.ownings["weights"].scope is not None
+            if one.receiver.lease_managers["weights"].candidate.stage == "owner"
+            and one.receiver.lease_managers["weights"].scope is not None
         ),
         None,
     )
@@ -290,7 +292,7 @@
     def __init__(self, world: World, size: int, times: int) -> None:
         self.world, self.size, self.times, self.took = world, size, times, list[float]()
 
-    def own(self, tenure: OwnTenure, value: bytes) -> Coro[None]:
+    def own(self, tenure: LeaseTenure, value: bytes) -> Coro[None]:
         for number in range(self.times):
             begun = self.world.now()
             yield from tenure.keep(bytes([number % 256]) * self.size)
@@ -322,7 +324,7 @@
                 for number in range(3):
                     one = figures(number, 3, 3, os.path.join(temporary, str(number)), ports)
                     duties = made[number] = Duties(world, QUIET, one, [works[number]])  # type: ignore[list-item]
-                    admin = Admin(world, {}, {"/duty": duties.take}, Duties.LARGEST)
+                    admin = Admin(world, {}, {"/duty": duties.handle_request}, Duties.LARGEST)
                     group.spawn(admin.serve(group, world.listen(one.addresses[number])), "admin")
                     group.spawn(duties.run(), "duties")
                 while not any(len(one.took) == times for one in works):
--- a/stackpitch/gateway/duties.py
+++ b/stackpitch/gateway/duties.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from stackpitch.duties.carrier import Duties, Figures
+from stackpitch.duties.carrier import Duties, DutiesConfig
 from stackpitch.gateway.admin import Admin, StreamHandler
 from stackpitch.gateway.client_listener import ClientListener
 from stackpitch.gateway.host import Host
@@ -17,13 +17,13 @@
 from stackpitch.wire import http
 
 
-def build_figures(settings: Settings) -> Figures:
+def build_figures(settings: Settings) -> DutiesConfig:
     """The parameters of leases and calls between gateways."""
     part = settings.duties
     addresses = tuple(
         (host, int(port)) for host, _, port in (address.rpartition(":") for address in settings.peers.admin)
     )
-    return Figures(
+    return DutiesConfig(
         part.fleet,
         settings.module.number,
         addresses,
@@ -44,7 +44,7 @@
 ) -> Duties:
     """The coordinated tasks, connected to the listener, the host and the admin port."""
     duties = Duties(world, log, build_figures(settings))
-    admin.body_handlers["/duty"], admin.max_body = duties.take, duties.LARGEST
+    admin.body_handlers["/duty"], admin.max_body = duties.handle_request, duties.LARGEST
     admits: Callable[[str], bool] = _admit_any
     if settings.duties.vocabulary is not None:
         admits = _add_vocabulary(world, settings, log, host, duties, client_listener, admin)
