--- a/stackpitch/cli/expect.py
+++ b/stackpitch/cli/expect.py
@@ -18,9 +18,9 @@
 from stackpitch.expect import mutate, report, watchlist
 from stackpitch.expect.book import Book
 from stackpitch.expect.deployment import Deployment, deployment
-from stackpitch.expect.judge import Judge, Touched, Verdict
+from stackpitch.expect.evaluate import Coverage, Evaluator, Verdict
 from stackpitch.expect.layout import layout
-from stackpitch.expect.parse import BadStatement, read_page
+from stackpitch.expect.parse import BadStatement, read_statement_file
 from stackpitch.loop import MS, Coro, RealWorld
 from stackpitch.membership.bundle import validate_fleet
 from stackpitch.settings import Fleet, Settings
@@ -60,34 +60,34 @@
         paths += sorted(one.rglob("*.expect")) if one.is_dir() else [one]
     if not paths:
         raise BadStatement(f"{', '.join(map(str, files))}: no *.expect file")
-    return Book([read_page(path) for path in paths])
+    return Book([read_statement_file(path) for path in paths])
 
 
-def _some(book: Book, given: Given, draws: int, names: list[str]) -> tuple[list[Verdict], Touched]:
-    judge = Judge(book, given.deployment(), draws)
-    return list(judge.all(names)), judge.touched
+def _some(book: Book, given: Given, draws: int, names: list[str]) -> tuple[list[Verdict], Coverage]:
+    judge = Evaluator(book, given.deployment(), draws)
+    return list(judge.evaluate_all(names)), judge.coverage
 
 
 def run(
     book: Book, given: Given, draws: int, only: tuple[str, ...], jobs: int
-) -> tuple[Judge, list[Verdict]]:
+) -> tuple[Evaluator, list[Verdict]]:
     """All verdicts in the book's order; statements are dealt out to `jobs` processes, each of them stands alone."""
     for name in only:
         if name not in book.statements:
             raise BadStatement(f'no statement "{name}"; there are: {", ".join(list(book.statements)[:20])}')
-    judge, names = Judge(book, given.deployment(), draws), list(only) or list(book.statements)
+    judge, names = Evaluator(book, given.deployment(), draws), list(only) or list(book.statements)
     if jobs < 2 or len(names) * len(given.fleet.servers) < WORTH_SHARING:
-        return judge, list(judge.all(names))
+        return judge, list(judge.evaluate_all(names))
     parts = [names[start :: jobs * 4] for start in range(min(len(names), jobs * 4))]
     found: dict[str, Verdict] = {}
     with ProcessPoolExecutor(jobs) as pool:
         for verdicts, touched in pool.map(partial(_some, book, given, draws), parts):
             found |= {one.statement.name: one for one in verdicts}
-            judge.touched.add(touched)
+            judge.coverage.add(touched)
     return judge, [found[name] for name in names]
 
 
-def show(console: Console, judge: Judge, verdicts: list[Verdict], causes: int) -> None:
+def show(console: Console, judge: Evaluator, verdicts: list[Verdict], causes: int) -> None:
     """Those that do not hold, with what the first few hang on; then one line."""
     colours = {"holds": "green", "fails": "red", "vacuous": "yellow", "can't apply": "magenta"}
     told = 0
@@ -96,30 +96,30 @@
             continue
         guard = " (guard)" if one.statement.guard else ""
         console.print(
-            f"[{colours[one.word()]}]{one.word()}[/]{guard}: [bold]{escape(one.statement.name)}[/]  "
+            f"[{colours[one.label()]}]{one.label()}[/]{guard}: [bold]{escape(one.statement.name)}[/]  "
             f"[dim]{one.file}:{one.statement.line}[/]",
             highlight=False,
         )
-        console.print(f"  {escape(one.why())}", highlight=False)
-        if told < causes and one.word() == "fails":
+        console.print(f"  {escape(one.reason())}", highlight=False)
+        if told < causes and one.label() == "fails":
             told += 1
-            for line in report.cause(judge, one.statement.name):
+            for line in report.describe_cause(judge, one.statement.name):
                 console.print(f"  {escape(line)}", highlight=False)
     for one_name, other, text in judge.book.contradictions(judge.sets):
         both = f'"{one_name}" and "{other}"' if one_name != other else f'"{one_name}" and itself'
         console.print(f"[yellow]contradict each other[/]: {escape(both)}: {escape(text)}", highlight=False)
-    counts = Counter(one.word() for one in verdicts)
+    counts = Counter(one.label() for one in verdicts)
     console.print(
         ", ".join(f"{counts[word]} {word}" for word in colours if counts[word]) or "no statement",
         highlight=False,
     )
 
 
-def coverage(console: Console, book: Book, judge: Judge) -> None:
+def coverage(console: Console, book: Book, judge: Evaluator) -> None:
     table = Table(title="What no statement touches", title_justify="left")
     table.add_column("")
     table.add_column("")
-    for subject, left in watchlist.untouched(book, judge.of, judge).items():
+    for subject, left in watchlist.untouched(book, judge.deployment, judge).items():
         more = f" and {len(left) - 12} more" if len(left) > 12 else ""
         table.add_row(subject, escape(", ".join(left[:12])) + more if left else "[green]none[/]")
     console.print(table)
@@ -201,7 +201,7 @@
     """Writes each file in its one form (only if that changes it, and not at all with `check`); gives those changed."""
     for one in files:
         for path in sorted(one.rglob("*.expect")) if one.is_dir() else [one]:
-            page = read_page(path)
+            page = read_statement_file(path)
             text = layout(page)
             if text != path.read_text(encoding="utf-8"):
                 if not check:
@@ -249,18 +249,18 @@
                 f"{len(changed)} of {len(verdicts)} statements differ from {against}", highlight=False
             )
     if cover:
-        tree["untouched"] = watchlist.untouched(book, judge.of, judge)
+        tree["untouched"] = watchlist.untouched(book, judge.deployment, judge)
     if as_json:
         click.echo(json.dumps(tree, indent=2))
     else:
         for name in explain:
             verdict = next(one for one in verdicts if one.statement.name == name)
-            console.print(f"[bold]{escape(name)}[/]: {verdict.word()}", highlight=False)
+            console.print(f"[bold]{escape(name)}[/]: {verdict.label()}", highlight=False)
             for _, line in verdict.statement.lines():
                 console.print(f"  {escape(line)}", highlight=False)
-            if verdict.why():
-                console.print(escape(verdict.why()), highlight=False)
-            for line in report.story(judge, name, verdict):
+            if verdict.reason():
+                console.print(escape(verdict.reason()), highlight=False)
+            for line in report.explain_run(judge, name, verdict):
                 console.print(escape(line), highlight=False)
         show(console, judge, verdicts, causes=3)
         if cover:
--- a/stackpitch/cli/fleet.py
+++ b/stackpitch/cli/fleet.py
@@ -14,7 +14,7 @@
 from stackpitch.expect import syntax as s
 from stackpitch.expect.book import Book, Plan
 from stackpitch.expect.deployment import deployment
-from stackpitch.expect.judge import Judge, Play, Variant
+from stackpitch.expect.evaluate import Evaluator, StatementRun, Variant
 from stackpitch.loop import SECOND, ConnectFailed, ConnectionLost, Coro, RealWorld
 from stackpitch.membership.bundle import build_entries, validate_fleet
 from stackpitch.membership.entries import Change, diff, digest
@@ -71,12 +71,12 @@
 def shares(settings: Settings, fleet: Fleet) -> Shares:
     """Parts of first turns by rack and server that reads, and that writes, by the module in the dry world."""
     of = deployment(settings, fleet)
-    asking = s.Asking(PLAYED, "first", (), rate=40.0)
+    asking = s.Traffic(PLAYED, "first", (), rate=40.0)
     statement = s.Statement("shares", False, (), asking, ())
-    judge = Judge(Book([]), of)
+    judge = Evaluator(Book([]), of)
     found: Shares = {f"{word} by {by}": {} for by in ("rack", "server") for word in ("read", "written")}
     for product in of.products:
-        play = Play(judge, Plan(statement, "", ()), Variant(product, None, 0))
+        play = StatementRun(judge, Plan(statement, "", ()), Variant(product, None, 0))
         play.run()
         for story in play.stories:
             part = 1 / PLAYED / len(of.products)
--- a/stackpitch/expect/book.py
+++ b/stackpitch/expect/book.py
@@ -24,7 +24,7 @@
 class Book:
     """Definitions, situations and statements of several pages. Raises BadStatement on names that occur twice."""
 
-    def __init__(self, pages: Iterable[s.Page]) -> None:
+    def __init__(self, pages: Iterable[s.StatementFile]) -> None:
         self.definitions: dict[str, s.Definition] = {}
         self.situations: dict[str, s.Situation] = {}
         self.statements: dict[str, tuple[str, s.Statement]] = {}  # with the file
@@ -67,8 +67,8 @@
     def check(self, plan: Plan, of: Deployment, sets: Sets) -> None:
         """Raises BadStatement if the statement can't apply to the configuration at all."""
         at, statement = plan.at, plan.statement
-        asked = [one.asking for one in plan.circumstances if isinstance(one, s.History)]
-        asked += [statement.asking] if statement.asking is not None else []
+        asked = [one.traffic for one in plan.circumstances if isinstance(one, s.EarlierTraffic)]
+        asked += [statement.traffic] if statement.traffic is not None else []
         for asking in asked:
             for product in asking.products:
                 if product not in of.products:
@@ -84,39 +84,39 @@
             if asking.customers == () and not of.customers:
                 raise BadStatement(f"{at}: every customer: this configuration has none")
         for one in plan.circumstances:
-            if isinstance(one, s.While | s.Deploy):
+            if isinstance(one, s.ServerCondition | s.Deploy):
                 names = sets.select(one.where, at)
                 if (
-                    isinstance(one, s.While)
+                    isinstance(one, s.ServerCondition)
                     and one.amount.how in ("some", "all but")
                     and one.amount.number > len(names)
                 ):
                     raise BadStatement(
                         f'{at}: "{one.where.text()}" means {len(names)} servers, not {one.amount.number:g}'
                     )
-        for then in statement.thens:
+        for then in statement.expectations:
             claim = then.claim
             if then.of is not None:
                 sets.select(then.of, at)
             place = (
                 claim.place
                 if isinstance(claim, s.Goes)
-                else claim.what
+                else claim.target
                 if isinstance(claim, s.Share)
                 else None
             )
             if isinstance(place, s.Where):
                 sets.select(place, at)
             if (
-                isinstance(place, s.Dynamic)
-                and place.what.startswith("that ")
-                and place.what != f"that {then.every}"
+                isinstance(place, s.DynamicPlace)
+                and place.reference.startswith("that ")
+                and place.reference != f"that {then.every}"
             ):
                 raise BadStatement(
-                    f'{at}: "{place.text()}": nothing says which; begin with "for every {place.what[5:]},"'
+                    f'{at}: "{place.text()}": nothing says which; begin with "for every {place.reference[5:]},"'
                 )
             if isinstance(claim, s.Share) and (
-                statement.asking is None or (statement.asking.count or 1) < 20
+                statement.traffic is None or (statement.traffic.count or 1) < 20
             ):
                 raise BadStatement(f'{at}: "{claim.text()}": a share is of many; say 20 turns at least')
 
@@ -125,7 +125,7 @@
         groups: dict[object, list[s.Statement]] = {}
         for name in self.statements:
             plan = self.plan(name)
-            asking = plan.statement.asking
+            asking = plan.statement.traffic
             key = None if asking is None else (plan.circumstances, replace(asking, products=()))
             groups.setdefault(key, []).append(plan.statement)
         found = []
@@ -139,12 +139,12 @@
 
     @staticmethod
     def _clash(one: s.Statement, other: s.Statement, sets: Sets) -> str | None:
-        if one.asking is not None and other.asking is not None:
-            ours, theirs = set(one.asking.products), set(other.asking.products)
+        if one.traffic is not None and other.traffic is not None:
+            ours, theirs = set(one.traffic.products), set(other.traffic.products)
             if ours and theirs and not ours & theirs:
                 return None
-        for number, mine in enumerate(one.thens):
-            for yours in other.thens[number + 1 :] if one is other else other.thens:
+        for number, mine in enumerate(one.expectations):
+            for yours in other.expectations[number + 1 :] if one is other else other.expectations:
                 if (mine.every, mine.of) == (yours.every, yours.of) and (
                     clash(mine.claim, yours.claim, sets) or clash(yours.claim, mine.claim, sets)
                 ):
@@ -155,11 +155,11 @@
 def clash(one: s.Claim, other: s.Claim, sets: Sets) -> bool:
     """Whether no generation can do both, as far as that shows without playing it. Ask both ways round."""
     if isinstance(one, s.Ended) and isinstance(other, s.Ended):
-        return one.wanted and (
-            (other.wanted and one.how != other.how) or (not other.wanted and one.how == other.how)
+        return one.expected and (
+            (other.expected and one.how != other.how) or (not other.expected and one.how == other.how)
         )
     if isinstance(one, s.Ended) and isinstance(other, s.Goes):
-        return one.wanted and one.how == "throttled" and not other.never and other.part == "written"
+        return one.expected and one.how == "throttled" and not other.never and other.part == "written"
     if isinstance(one, s.Goes) and isinstance(other, s.Goes) and not one.never:
         if isinstance(one.place, s.Where) and isinstance(other.place, s.Where):
             ours, theirs = sets.select(one.place, ""), sets.select(other.place, "")
@@ -171,18 +171,18 @@
             )
             return bool(alike) and not ours & theirs
         return other.never and one.place == other.place
-    if isinstance(one, s.Legs) and isinstance(other, s.Legs):
+    if isinstance(one, s.LegCount) and isinstance(other, s.LegCount):
         return other.exactly and (other.count != one.count if one.exactly else other.count > one.count)
-    if isinstance(one, s.Legs) and isinstance(other, s.Resent):
-        return other.wanted and one.count < 2
+    if isinstance(one, s.LegCount) and isinstance(other, s.Resent):
+        return other.expected and one.count < 2
     if isinstance(one, s.Resent) and isinstance(other, s.Resent):
-        return one.wanted != other.wanted
+        return one.expected != other.expected
     if isinstance(one, s.Share) and isinstance(other, s.Share):
         return (
             one.part == other.part
-            and one.what == other.what
+            and one.target == other.target
             and (one.high < other.low or other.high < one.low)
         )
-    if isinstance(one, s.Fact) and isinstance(other, s.Fact):
+    if isinstance(one, s.SettingClaim) and isinstance(other, s.SettingClaim):
         return one.path == other.path and one.value != other.value
     return False
--- a/stackpitch/expect/deployment.py
+++ b/stackpitch/expect/deployment.py
@@ -82,19 +82,19 @@
 
     def _where(self, where: Where, at: str, inside: tuple[str, ...]) -> frozenset[str]:
         names: frozenset[str] = frozenset().union(*(self._term(one, at, inside) for one in where.terms))
-        names -= frozenset().union(*(self._term(one, at, inside) for one in where.but))
+        names -= frozenset().union(*(self._term(one, at, inside) for one in where.excluded))
         if not names:
             raise BadStatement(f'{at}: no server is meant by "{where.text()}" in this configuration')
         return names
 
     def _term(self, term: Term, at: str, inside: tuple[str, ...]) -> frozenset[str]:
-        if term.sort == "server":
+        if term.selector == "server":
             if term.name not in self.names:
                 raise BadStatement(
                     f'{at}: no server "{term.name}" in this configuration; {self._near(term.name)}'
                 )
             return frozenset((term.name,))
-        if term.sort == "defined":
+        if term.selector == "defined":
             if term.name in inside or len(inside) > 50:
                 raise BadStatement(f'{at}: definition "{term.name}" leads back to itself')
             if term.name not in self.definitions:
@@ -102,7 +102,9 @@
             inner = self._where(self.definitions[term.name].where, at, (*inside, term.name))
             able = [one for one in self.of.fleet if one.name in inner]
         else:
-            able = [one for one in self.of.fleet if term.sort == "servers" or one.role == ROLE[term.sort]]
+            able = [
+                one for one in self.of.fleet if term.selector == "servers" or one.role == ROLE[term.selector]
+            ]
         for one in term.filters:
             there = {str(getattr(server, one.field)) for server in self.of.fleet}
             if one.value not in there:
--- a/stackpitch/expect/judge.py
+++ b/stackpitch/expect/evaluate.py
@@ -18,7 +18,7 @@
 from stackpitch.interface import Server, Time
 from stackpitch.preferences import RuledBrain
 
-RELEASE = 100 * MS  # what is held with no leg out may wait so long; in a dry world nothing needs longer
+RELEASE = 100 * MS  # what is held with no leg out may wait so long; in a dry world nothing required longer
 LOOKS = 40  # a share is looked at after every so many generations, and no further once it is decided
 LEAD = 2 * SECOND  # that other generations come before what a statement is about
 TURNS = {"first": 0, "second": 1, "later": 1, "third": 2}
@@ -39,12 +39,12 @@
 
 
 @dataclass(slots=True)
-class Finding:
+class ClaimResult:
     """One claim in one play."""
 
-    then: s.Then
-    held: bool
-    why: str = ""
+    expectation: s.Expectation
+    holds: bool
+    reason: str = ""
 
 
 @dataclass(slots=True)
@@ -54,11 +54,11 @@
     passed: bool = True
     vacuous: str = ""  # what did not come about
     error: str = ""  # why it can't apply
-    failed: list[tuple[Variant | None, Finding]] = field(default_factory=list)
+    failed: list[tuple[Variant | None, ClaimResult]] = field(default_factory=list)
     decisions: list[str] = field(default_factory=list)  # what became of the generations, a line each
     plays: int = 0
 
-    def word(self) -> str:
+    def label(self) -> str:
         return (
             "can't apply"
             if self.error
@@ -69,14 +69,14 @@
             else "fails"
         )
 
-    def why(self) -> str:
+    def reason(self) -> str:
         if self.error or self.vacuous:
             return self.error or f"its situation never came about: {self.vacuous}"
-        return "; ".join(f"{one.then.text()}: {one.why}" for _, one in self.failed[:3])
+        return "; ".join(f"{one.expectation.text()}: {one.reason}" for _, one in self.failed[:3])
 
 
 @dataclass(slots=True)
-class Touched:
+class Coverage:
     """What the plays of some statements came by; `stackpitch expect --coverage` shows what is left."""
 
     products: set[str] = field(default_factory=set)
@@ -86,38 +86,42 @@
     outcomes: set[str] = field(default_factory=set)
     ends: set[str] = field(default_factory=set)
 
-    def add(self, other: "Touched") -> None:
+    def add(self, other: "Coverage") -> None:
         for one in fields(self):
             getattr(self, one.name).update(getattr(other, one.name))
 
 
-class Judge:
+class Evaluator:
     """One configuration and one book."""
 
     def __init__(
-        self, book: Book, of: Deployment, draws: int = 3, make: Callable[..., Brain] = RuledBrain
+        self,
+        book: Book,
+        deployment: Deployment,
+        draws: int = 3,
+        make_brain: Callable[..., Brain] = RuledBrain,
     ) -> None:
-        self.book, self.of, self.draws, self.make = book, of, draws, make
-        self.sets = Sets(of, book.definitions)
-        self.touched = Touched()
+        self.book, self.deployment, self.draws, self.make_brain = book, deployment, draws, make_brain
+        self.sets = Sets(deployment, book.definitions)
+        self.coverage = Coverage()
 
-    def all(self, names: list[str] | None = None) -> Iterator[Verdict]:
+    def evaluate_all(self, names: list[str] | None = None) -> Iterator[Verdict]:
         for name in names if names is not None else self.book.statements:
-            yield self.judge(name)
+            yield self.evaluate(name)
 
-    def judge(self, name: str) -> Verdict:
+    def evaluate(self, name: str) -> Verdict:
         file, statement = self.book.statements[name]
         try:
             plan = self.book.plan(name)
-            self.book.check(plan, self.of, self.sets)
+            self.book.check(plan, self.deployment, self.sets)
             return self.verdict(plan)
         except BadStatement as wrong:
             return Verdict(statement, file, passed=False, error=str(wrong))
 
-    def variants(self, asking: s.Asking) -> Iterator[Variant]:
-        products = asking.products or tuple(self.of.products)
+    def variants(self, asking: s.Traffic) -> Iterator[Variant]:
+        products = asking.products or tuple(self.deployment.products)
         customers: tuple[str | None, ...] = (
-            (None,) if asking.customers is None else (asking.customers or tuple(self.of.customers))
+            (None,) if asking.customers is None else (asking.customers or tuple(self.deployment.customers))
         )
         for draw in range(self.draws if asking.count is None else 1):
             for product in products:
@@ -127,40 +131,42 @@
     def verdict(self, plan: Plan, first_only: bool = True) -> Verdict:
         """Raises BadStatement. Stops at the first play that fails unless told otherwise."""
         verdict = Verdict(plan.statement, plan.file)
-        if plan.statement.asking is None:
-            for then in plan.statement.thens:
-                finding = self._fact(then, plan.at)
-                if not finding.held:
-                    verdict.failed.append((None, finding))
+        if plan.statement.traffic is None:
+            for expectation in plan.statement.expectations:
+                result = self._fact(expectation, plan.at)
+                if not result.holds:
+                    verdict.failed.append((None, result))
             verdict.passed = not verdict.failed
             return verdict
-        for variant in self.variants(plan.statement.asking):
-            play = Play(self, plan, variant)
+        for variant in self.variants(plan.statement.traffic):
+            play = StatementRun(self, plan, variant)
             verdict.plays += 1
             try:
-                findings = play.run()
+                results = play.run()
             except Vacuous as wrong:
                 verdict.vacuous, verdict.passed = f"{wrong} ({variant.text()})", False
                 return verdict
             verdict.decisions += play.decisions()
-            verdict.failed += [(variant, one) for one in findings if not one.held]
+            verdict.failed += [(variant, one) for one in results if not one.holds]
             if verdict.failed and first_only:
                 break
         verdict.passed = not verdict.failed
         return verdict
 
-    def _fact(self, then: s.Then, at: str) -> Finding:
-        claim = then.claim
-        if isinstance(claim, s.Count):
+    def _fact(self, expectation: s.Expectation, at: str) -> ClaimResult:
+        claim = expectation.claim
+        if isinstance(claim, s.ServerCount):
             count = len(self.sets.select(claim.where, at))
-            return Finding(
-                then, count >= claim.count if claim.least else count == claim.count, f"there are {count}"
+            return ClaimResult(
+                expectation,
+                count >= claim.count if claim.least else count == claim.count,
+                f"there are {count}",
             )
-        if isinstance(claim, s.Each):
+        if isinstance(claim, s.EachServer):
             names = self.sets.select(claim.where, at)
             wrong = [
                 one
-                for one in self.of.fleet
+                for one in self.deployment.fleet
                 if one.name in names
                 and (one.state != "ready" if claim.weight is None else one.weight != claim.weight)
             ]
@@ -168,47 +174,53 @@
                 f"{one.name} {f'is {one.state}' if claim.weight is None else f'weighs {one.weight:g}'}"
                 for one in wrong
             ]
-            return Finding(then, not wrong, ", ".join(said[:5]))
-        assert isinstance(claim, s.Fact)
-        value: Any = self.of.tree
+            return ClaimResult(expectation, not wrong, ", ".join(said[:5]))
+        assert isinstance(claim, s.SettingClaim)
+        value: Any = self.deployment.tree
         for step in claim.path.split("."):
             if not isinstance(value, dict) or step not in value:
                 raise BadStatement(f'{at}: no setting "{claim.path}"; found none of the name "{step}"')
             value = value[step]
-        return Finding(then, value == claim.value, f"it is {value!r}")
+        return ClaimResult(expectation, value == claim.value, f"it is {value!r}")
 
 
-class Play:
+class StatementRun:
     """One statement, one product, one customer, one draw."""
 
-    def __init__(self, judge: Judge, plan: Plan, variant: Variant, explain: bool = False) -> None:
-        asking = plan.statement.asking
+    def __init__(self, judge: Evaluator, plan: Plan, variant: Variant, explain: bool = False) -> None:
+        asking = plan.statement.traffic
         assert asking is not None
-        self.judge, self.plan, self.variant, self.asking = judge, plan, variant, asking
+        self.judge, self.plan, self.variant, self.traffic = judge, plan, variant, asking
         self.mark = f"{plan.statement.name} {variant.product} {variant.customer} {variant.draw}"
-        clock = next((one for one in plan.circumstances if isinstance(one, s.Clock)), s.Clock(12 * 60))
-        self.dry = Dry(judge.of, self.mark, explain, clock.day, clock.minute, judge.make)
+        clock = next(
+            (one for one in plan.circumstances if isinstance(one, s.TimeOfDay)), s.TimeOfDay(12 * 60)
+        )
+        self.dry = Dry(judge.deployment, self.mark, explain, clock.day, clock.minute, judge.make_brain)
         self.stories: list[Story] = []
-        self.script = [(one.part, one.what) for one in plan.circumstances if isinstance(one, s.Happens)]
-        self.leaves = next((one.when for one in plan.circumstances if isinstance(one, s.Leaves)), "")
+        self.script = [(one.part, one.event) for one in plan.circumstances if isinstance(one, s.LegEvent)]
+        self.leaves = next((one.when for one in plan.circumstances if isinstance(one, s.ClientLeaves)), "")
         self.deploy: tuple[Time, Time] | None = None  # since when and until when one runs
         self.live = True
 
-    def run(self) -> list[Finding]:
+    def run(self) -> list[ClaimResult]:
         """Raises Vacuous and BadStatement."""
-        count = self.asking.count or 1
+        count = self.traffic.count or 1
         before = [self._turns(number) for number in range(count)]
         for one in self.plan.circumstances:
             self._circumstance(one)
-        shares = [then for then in self.plan.statement.thens if isinstance(then.claim, s.Share)]
-        only_shares = 0 < len(shares) == len(self.plan.statement.thens)
-        gap = round(SECOND / self.asking.rate) if self.asking.rate else 50 * MS
-        if self.deploy is not None and not self.asking.rate:
+        shares = [
+            expectation
+            for expectation in self.plan.statement.expectations
+            if isinstance(expectation.claim, s.Share)
+        ]
+        only_shares = 0 < len(shares) == len(self.plan.statement.expectations)
+        gap = round(SECOND / self.traffic.rate) if self.traffic.rate else 50 * MS
+        if self.deploy is not None and not self.traffic.rate:
             begin, end = self.deploy
             gap = (end - begin) // (count + 1)
             self.dry.until(begin + gap)
         for number in range(count):
-            self.stories.append(self._turn(number, before[number], TURNS[self.asking.turn], main=True))
+            self.stories.append(self._turn(number, before[number], TURNS[self.traffic.turn], main=True))
             if number + 1 < count:
                 self.dry.until(self.dry.now + gap)
                 if only_shares and number % LOOKS == LOOKS - 1 and self._decided(shares):
@@ -224,22 +236,22 @@
             raise Vacuous(f"its {left[0][0]} never came to where it {left[0][1]}")
         if self.leaves and all(story.end != "departed" for story in self.stories):
             raise Vacuous("its client had its answer before it could leave")
-        findings, vacuous = list[Finding](), list[Vacuous]()
-        for then in self.plan.statement.thens:
+        results, vacuous = list[ClaimResult](), list[Vacuous]()
+        for expectation in self.plan.statement.expectations:
             try:
-                findings.append(self._finding(then))
+                results.append(self._finding(expectation))
             except Vacuous as wrong:
                 vacuous.append(wrong)
-        if vacuous and all(one.held for one in findings):
+        if vacuous and all(one.holds for one in results):
             raise vacuous[0]
-        return findings  # a claim that failed says more than one that could not be looked at
+        return results  # a claim that failed says more than one that could not be looked at
 
     # What comes before.
 
     def _turns(self, number: int) -> Story | None:
         """The earlier turns of a session, with all servers as the fleet's file has them."""
         story = None
-        for turn in range(TURNS[self.asking.turn]):
+        for turn in range(TURNS[self.traffic.turn]):
             story = self._turn(number, story, turn)
             self.dry.settle(60 * SECOND)
             if story.end != "streamed":
@@ -252,16 +264,16 @@
         earlier: Story | None,
         turn: int,
         main: bool = False,
-        asking: s.Asking | None = None,
+        asking: s.Traffic | None = None,
         product: str | None = None,
         session: str = "",
     ) -> Story:
-        asking = asking or self.asking
+        asking = asking or self.traffic
         prompt = asking.prompt_tok + turn * (asking.answer_tok + asking.adding_tok)
         customer = self.variant.customer
         return self.dry.ask(
-            self.judge.of.products[product or self.variant.product],
-            self.judge.of.customers[customer] if customer is not None else None,
+            self.judge.deployment.products[product or self.variant.product],
+            self.judge.deployment.customers[customer] if customer is not None else None,
             session or f"{self.mark} {number}",
             asking.opening,
             asking.opening_tok,
@@ -276,15 +288,15 @@
 
     def _circumstance(self, one: s.Circumstance) -> None:
         dry = self.dry
-        if isinstance(one, s.Clock):
-            self.judge.touched.states.add("clock")
-        elif isinstance(one, s.While):
+        if isinstance(one, s.TimeOfDay):
+            self.judge.coverage.states.add("clock")
+        elif isinstance(one, s.ServerCondition):
             names = part(self.judge.sets.select(one.where, self.plan.at), one.amount, self.mark)
             if not names:
                 raise Vacuous(f"{one.amount.text()}{one.where.text()} is no server at all")
-            self.judge.touched.states.add(one.state)
+            self.judge.coverage.states.add(one.state)
             dry.state(names, one.state, one.number)
-        elif isinstance(one, s.Load):
+        elif isinstance(one, s.BackgroundLoad):
             self._load(one.rate)
             dry.until(dry.now + LEAD)
         elif isinstance(one, s.Deploy):
@@ -293,9 +305,9 @@
             dry.restart()
         elif isinstance(one, s.Pause):
             dry.until(dry.now + one.time)
-        elif isinstance(one, s.History):
-            asking = one.asking
-            products = asking.products or tuple(self.judge.of.products)
+        elif isinstance(one, s.EarlierTraffic):
+            asking = one.traffic
+            products = asking.products or tuple(self.judge.deployment.products)
             gap = round(SECOND / asking.rate) if asking.rate else 50 * MS
             for number in range(asking.count or 1):
                 for turn in range(TURNS[asking.turn] + 1):
@@ -313,8 +325,8 @@
 
     def _load(self, rate: float) -> None:
         """Other generations, of all products in turn, until the statement's own are done."""
-        dry, products, numbers = self.dry, tuple(self.judge.of.products), iter(range(1 << 30))
-        asking = s.Asking(None, "first", ())
+        dry, products, numbers = self.dry, tuple(self.judge.deployment.products), iter(range(1 << 30))
+        asking = s.Traffic(None, "first", ())
 
         def come() -> None:
             if self.live:
@@ -337,7 +349,7 @@
         batches = [names[at : at + one.size] for at in range(0, len(names), one.size)]
         step = max(1, one.time // len(batches))
         self.deploy = dry.now, dry.now + one.time
-        self.judge.touched.states |= {"drains", "gone", "cold"}
+        self.judge.coverage.states |= {"drains", "gone", "cold"}
         for number, batch in enumerate(batches):
             begin = dry.now + number * step
             dry.at(begin, lambda batch=batch: dry.state(batch, "drains"))  # type: ignore[misc]
@@ -354,7 +366,7 @@
         return ", ".join([*legs, story.end or "no answer"])
 
     def _note(self) -> None:
-        touched = self.judge.touched
+        touched = self.judge.coverage
         touched.products.add(self.variant.product)
         if self.variant.customer is not None:
             touched.customers.add(self.variant.customer)
@@ -373,27 +385,27 @@
         def those(able: Callable[[Server], bool]) -> frozenset[str]:
             return frozenset(one.name for one in servers if able(one))
 
-        if place.what == "owner":
+        if place.reference == "owner":
             if story.earlier is None or story.earlier.served is None:
                 raise Vacuous("it has no earlier turn that a writer served")
             return frozenset((story.earlier.served.name,))
-        if place.what == "holder":
+        if place.reference == "holder":
             if not story.holder_cells:
                 raise Vacuous("no rack held its opening when it came")
             return those(lambda one: one.cell in story.holder_cells)
-        if place.what == "same rack":
+        if place.reference == "same rack":
             read = [leg.server for leg in story.gen.legs if leg.outcome == "read"]
             if not read:
                 raise Vacuous("no reader read it")
             return those(lambda one: one.cell == read[-1].cell)
-        if place.what in ("another rack", "another server"):
+        if place.reference in ("another rack", "another server"):
             if len(story.gen.legs) < 1:
                 raise Vacuous("no leg was sent")
             first = story.gen.legs[0].server
-            if place.what == "another rack":
+            if place.reference == "another rack":
                 return those(lambda one: one.cell != first.cell)
             return those(lambda one: one is not first)
-        what = {"that rack": "cell", "that zone": "zone", "that server": "name"}[place.what]
+        what = {"that rack": "cell", "that zone": "zone", "that server": "name"}[place.reference]
         return those(lambda one: str(getattr(one, what)) == bound)
 
     def _went(self, story: Story, which: s.Part, place: s.Place, bound: str) -> bool | None:
@@ -402,76 +414,82 @@
         legs = story.gen.legs
         if which == "written":
             return story.served.name in names if story.served is not None else None
-        if which == "read" or (isinstance(place, s.Dynamic) and place.what == "holder"):
+        if which == "read" or (isinstance(place, s.DynamicPlace) and place.reference == "holder"):
             read = next((leg.server for leg in reversed(legs) if leg.outcome == "read"), story.served)
             return read.name in names if read is not None else None
-        if isinstance(place, s.Dynamic) and place.what in ("another rack", "another server"):
+        if isinstance(place, s.DynamicPlace) and place.reference in ("another rack", "another server"):
             return story.served.name in names if story.served is not None else None
         roles = {one.role for one in self.dry.servers.values() if one.name in names}
         ours = [leg for leg in legs if leg.server.role in roles]
         return all(leg.server.name in names for leg in ours) if ours else None
 
-    def _bounds(self, then: s.Then) -> list[str]:
-        if then.every is None:
+    def _bounds(self, expectation: s.Expectation) -> list[str]:
+        if expectation.every is None:
             return [""]
-        names = self.judge.sets.select(then.of, self.plan.at) if then.of else frozenset(self.dry.servers)
-        what = {"rack": "cell", "zone": "zone", "server": "name"}[then.every]
+        names = (
+            self.judge.sets.select(expectation.of, self.plan.at)
+            if expectation.of
+            else frozenset(self.dry.servers)
+        )
+        what = {"rack": "cell", "zone": "zone", "server": "name"}[expectation.every]
         return sorted({str(getattr(one, what)) for one in self.dry.servers.values() if one.name in names})
 
-    def _finding(self, then: s.Then) -> Finding:
-        for bound in self._bounds(then):
-            if isinstance(then.claim, s.Share):
-                finding = self._share(then, then.claim, bound, len(self._bounds(then)))
-                if not finding.held:
-                    return finding
+    def _finding(self, expectation: s.Expectation) -> ClaimResult:
+        for bound in self._bounds(expectation):
+            if isinstance(expectation.claim, s.Share):
+                result = self._share(expectation, expectation.claim, bound, len(self._bounds(expectation)))
+                if not result.holds:
+                    return result
                 continue
             for story in self.stories:
-                finding = self._one(then, story, bound)
-                if not finding.held:
-                    return finding
-        return Finding(then, True)
-
-    def _one(self, then: s.Then, story: Story, bound: str) -> Finding:
-        claim, gen = then.claim, story.gen
-        which = f" ({then.every} {bound})" if bound else ""
+                result = self.evaluate_claim(expectation, story, bound)
+                if not result.holds:
+                    return result
+        return ClaimResult(expectation, True)
+
+    def evaluate_claim(self, expectation: s.Expectation, story: Story, bound: str) -> ClaimResult:
+        claim, gen = expectation.claim, story.gen
+        which = f" ({expectation.every} {bound})" if bound else ""
         found = self._path(story)
         if isinstance(claim, s.Goes):
             if claim.never:
                 names = self._names(claim.place, story, bound)
                 hit = [leg.server.name for leg in gen.legs if leg.server.name in names]
-                return Finding(then, not hit, f"it went to {', '.join(hit)}{which}; {found}")
-            return Finding(then, self._went(story, claim.part, claim.place, bound) is True, f"{found}{which}")
+                return ClaimResult(expectation, not hit, f"it went to {', '.join(hit)}{which}; {found}")
+            return ClaimResult(
+                expectation, self._went(story, claim.part, claim.place, bound) is True, f"{found}{which}"
+            )
         if isinstance(claim, s.Ended):
-            return Finding(then, (story.end == claim.how) is claim.wanted, found)
+            return ClaimResult(expectation, (story.end == claim.how) is claim.expected, found)
         if isinstance(claim, s.Resent):
             roles = [leg.server.role for leg in gen.legs]
-            return Finding(then, (len(roles) != len(set(roles))) is claim.wanted, found)
-        if isinstance(claim, s.Legs):
+            return ClaimResult(expectation, (len(roles) != len(set(roles))) is claim.expected, found)
+        if isinstance(claim, s.LegCount):
             good = len(gen.legs) == claim.count if claim.exactly else len(gen.legs) <= claim.count
-            return Finding(then, good, f"{len(gen.legs)} legs: {found}")
+            return ClaimResult(expectation, good, f"{len(gen.legs)} legs: {found}")
         if isinstance(claim, s.Answered):
             if claim.within is None:
                 if story.end not in ("throttled", "terminated"):
                     raise Vacuous(f"it was {story.end or 'never answered'}, not given up")
                 late = (story.answered or 0) - story.last_back
-                return Finding(then, late <= 0, f"{late / 10:.1f} ms after its last leg was back")
+                return ClaimResult(expectation, late <= 0, f"{late / 10:.1f} ms after its last leg was back")
             took = None if story.answered is None else story.answered - gen.arrived
-            return Finding(
-                then,
+            return ClaimResult(
+                expectation,
                 took is not None and took <= claim.within,
                 f"{'never' if took is None else f'after {took / 10:.0f} ms'}; {found}",
             )
         if isinstance(claim, s.Released):
             if not story.held_at_all:
                 raise Vacuous("nothing was held for it")
-            return Finding(
-                then,
+            return ClaimResult(
+                expectation,
                 story.longest_held <= claim.within,
                 f"held {story.longest_held / 10:.0f} ms with no leg out",
             )
-        assert isinstance(claim, s.Rules)
+        assert isinstance(claim, s.RuleHolds)
         broken = [text for rule, text in self.dry.breaches if claim.name in (None, rule)]
-        return Finding(then, not broken, "; ".join(broken[:3]))
+        return ClaimResult(expectation, not broken, "; ".join(broken[:3]))
 
     # Shares.
 
@@ -482,33 +500,33 @@
                 continue
             total += 1
             hits += (
-                story.end == claim.what
-                if isinstance(claim.what, str)
-                else bool(self._went(story, claim.part, claim.what, bound))
+                story.end == claim.target
+                if isinstance(claim.target, str)
+                else bool(self._went(story, claim.part, claim.target, bound))
             )
         return hits, total
 
-    def _share(self, then: s.Then, claim: s.Share, bound: str, bounds: int) -> Finding:
+    def _share(self, expectation: s.Expectation, claim: s.Share, bound: str, bounds: int) -> ClaimResult:
         hits, total = self._counted(claim, bound)
-        looks = max(1, (self.asking.count or 1) // LOOKS)
-        low, high = interval(hits, total, 1 - (1 - claim.confidence / 100) / (bounds * looks))
-        where = f" for {then.every} {bound}" if bound else ""
+        looks = max(1, (self.traffic.count or 1) // LOOKS)
+        low, high = wilson_interval(hits, total, 1 - (1 - claim.confidence / 100) / (bounds * looks))
+        where = f" for {expectation.every} {bound}" if bound else ""
         seen = f"{hits} of {total}{where}, so {low:.1%} to {high:.1%} with {claim.confidence:g}% confidence"
         if claim.low / 100 <= low and high <= claim.high / 100:
-            return Finding(then, True, seen)
+            return ClaimResult(expectation, True, seen)
         if high < claim.low / 100 or low > claim.high / 100:
-            return Finding(then, False, seen)
-        return Finding(then, False, f"{seen}: too close to tell, say more turns")
+            return ClaimResult(expectation, False, seen)
+        return ClaimResult(expectation, False, f"{seen}: too close to tell, say more turns")
 
-    def _decided(self, shares: list[s.Then]) -> bool:
+    def _decided(self, shares: list[s.Expectation]) -> bool:
         """Whether more generations would change nothing. Those under way count as what they will be, so they are let
         end first; time that they take goes by for all."""
         self.dry.until(self.dry.now + LEAD)
-        return all("too close" not in finding.why for finding in map(self._finding, shares))
+        return all("too close" not in result.reason for result in map(self._finding, shares))
 
 
-def interval(hits: int, total: int, confidence: float) -> tuple[float, float]:
-    """Wilson's interval for a share, as parts of 1."""
+def wilson_interval(hits: int, total: int, confidence: float) -> tuple[float, float]:
+    """Wilson's wilson_interval for a share, as parts of 1."""
     if not total:
         return 0.0, 1.0
     z = NormalDist().inv_cdf(0.5 + confidence / 2)
@@ -524,14 +542,14 @@
 
 
 @dataclass(slots=True)
-class Cause:
-    """Circumstances that the failure needs, and single changes that would turn it."""
+class FailureCause:
+    """Circumstances that the failure required, and single changes that would turn it."""
 
-    needs: list[str]
-    turns: list[str]
+    required: list[str]
+    fixes: list[str]
 
 
-def shrink(judge: Judge, plan: Plan, most: int = 60) -> Cause:
+def minimize_failure(judge: Evaluator, plan: Plan, most: int = 60) -> FailureCause:
     """Leaves out circumstances for as long as it still fails, then looks for the smallest change that makes it hold."""
     tried = 0
 
@@ -553,23 +571,23 @@
         else:
             at += 1
     turns = [text for text, changed in changes(judge, plan) if tried < most and holds(changed)]
-    return Cause([one.text() for one in plan.circumstances], turns)
+    return FailureCause([one.text() for one in plan.circumstances], turns)
 
 
-def changes(judge: Judge, plan: Plan) -> Iterator[tuple[str, Plan]]:
+def changes(judge: Evaluator, plan: Plan) -> Iterator[tuple[str, Plan]]:
     """Plans one step away, smallest steps first, each with how to say it."""
     for at, one in enumerate(plan.circumstances):
         rest = plan.circumstances[:at], plan.circumstances[at + 1 :]
         yield f'without "{one.text()}"', replace(plan, circumstances=rest[0] + rest[1])
-        if isinstance(one, s.While) and one.amount.how != "some":
+        if isinstance(one, s.ServerCondition) and one.amount.how != "some":
             some = replace(one, amount=s.Amount("some", 1))
             yield f'with "{some.text()}"', replace(plan, circumstances=(*rest[0], some, *rest[1]))
-    asking = plan.statement.asking
+    asking = plan.statement.traffic
     if asking is None:
         return
-    asked: list[tuple[str, s.Asking]] = [
+    asked: list[tuple[str, s.Traffic]] = [
         (f"for {name}", replace(asking, products=(name,)))
-        for name in judge.of.products
+        for name in judge.deployment.products
         if asking.products != (name,)
     ]
     if asking.opening is not None:
@@ -589,4 +607,4 @@
         ),
     ]
     for text, changed in asked:
-        yield text, replace(plan, statement=replace(plan.statement, asking=changed))
+        yield text, replace(plan, statement=replace(plan.statement, traffic=changed))
--- a/stackpitch/expect/layout.py
+++ b/stackpitch/expect/layout.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Iterator
 
-from stackpitch.expect.syntax import Definition, Page
+from stackpitch.expect.syntax import Definition, StatementFile
 
 
-def _lines(page: Page) -> Iterator[tuple[int, str]]:
+def _lines(page: StatementFile) -> Iterator[tuple[int, str]]:
     """Each line with where it stood; 0 where that is not known."""
     for number, one in enumerate(page.items):
         if number and not (isinstance(one, Definition) and isinstance(page.items[number - 1], Definition)):
@@ -16,7 +16,7 @@
             yield from one.lines()
 
 
-def layout(page: Page) -> str:
+def layout(page: StatementFile) -> str:
     """The page's text. Of its own output it changes nothing."""
     out: list[str] = []
     waiting = list(page.comments)
--- a/stackpitch/expect/mutate.py
+++ b/stackpitch/expect/mutate.py
@@ -11,7 +11,7 @@
 
 from stackpitch.expect.book import Book
 from stackpitch.expect.deployment import deployment
-from stackpitch.expect.judge import Judge
+from stackpitch.expect.evaluate import Evaluator
 from stackpitch.settings import BadSettings, Fleet, Settings
 from stackpitch.settings.load import check
 
@@ -145,11 +145,12 @@
 
 def words(book: Book, settings: Settings, fleet: Fleet) -> dict[str, str]:
     return {
-        verdict.statement.name: verdict.word() for verdict in Judge(book, deployment(settings, fleet)).all()
+        verdict.statement.name: verdict.label()
+        for verdict in Evaluator(book, deployment(settings, fleet)).evaluate_all()
     }
 
 
 def noticed_by(book: Book, mutation: Mutation, before: dict[str, str], order: list[str]) -> str | None:
     """The first statement, in this order, whose word the change turns."""
-    judge = Judge(book, deployment(mutation.settings, mutation.fleet))
-    return next((name for name in order if judge.judge(name).word() != before[name]), None)
+    judge = Evaluator(book, deployment(mutation.settings, mutation.fleet))
+    return next((name for name in order if judge.evaluate(name).label() != before[name]), None)
--- a/stackpitch/expect/parse.py
+++ b/stackpitch/expect/parse.py
@@ -1,4 +1,4 @@
-"""Reads files of statements. Pure but for `read_page`, which reads one file.
+"""Reads files of statements. Pure but for `read_statement_file`, which reads one file.
 
 Hostile input is refused before it costs anything: by size, by encoding, by count; the grammar has no nesting, so no
 depth of it can be asked for.
@@ -147,7 +147,7 @@
             "OTHER_RACK": "another rack",
             "OTHER": "another server",
         }
-        return s.Dynamic(words.get(one.type) or " ".join(str(one).split()))  # type: ignore[arg-type]
+        return s.DynamicPlace(words.get(one.type) or " ".join(str(one).split()))  # type: ignore[arg-type]
 
     # Amounts.
 
@@ -170,9 +170,9 @@
         return s.Given(self.plain(parts[0]))
 
     @_placed
-    def whilst(self, parts: list[Any]) -> s.While:
+    def whilst(self, parts: list[Any]) -> s.ServerCondition:
         amount, where, (state, number) = parts
-        return s.While(amount or s.Amount(), where, state, number)
+        return s.ServerCondition(amount or s.Amount(), where, state, number)
 
     def _state(name: str) -> Any:  # type: ignore[misc]
         def make(self: "_Reader", parts: list[Any]) -> tuple[str, float]:
@@ -193,17 +193,17 @@
         return "report", self.percent_of(parts[-1])
 
     @_placed
-    def clock(self, parts: list[Any]) -> s.Clock:
+    def clock(self, parts: list[Any]) -> s.TimeOfDay:
         hour, _, minute = str(parts[0]).partition(":")
-        return s.Clock(
+        return s.TimeOfDay(
             int(hour) * 60 + int(minute), s.DAYS.index(str(parts[1])) if parts[1] is not None else 0
         )
 
     @_placed
-    def load(self, parts: list[Any]) -> s.Load:
+    def load(self, parts: list[Any]) -> s.BackgroundLoad:
         if not 0 < float(parts[0]) <= 1000:
             raise ValueError(f"found {parts[0]} generations a second; up to 1000 is allowed", parts[0])
-        return s.Load(float(parts[0]))
+        return s.BackgroundLoad(float(parts[0]))
 
     @_placed
     def deploy(self, parts: list[Any]) -> s.Deploy:
@@ -218,12 +218,12 @@
         return s.Pause(parts[0])
 
     @_placed
-    def happens(self, parts: list[Any]) -> s.Happens:
-        return s.Happens(str(parts[0]), str(parts[1]))  # type: ignore[arg-type]
+    def happens(self, parts: list[Any]) -> s.LegEvent:
+        return s.LegEvent(str(parts[0]), str(parts[1]))  # type: ignore[arg-type]
 
     @_placed
-    def leaves(self, parts: list[Any]) -> s.Leaves:
-        return s.Leaves(str(parts[0]))  # type: ignore[arg-type]
+    def leaves(self, parts: list[Any]) -> s.ClientLeaves:
+        return s.ClientLeaves(str(parts[0]))  # type: ignore[arg-type]
 
     def one(self, parts: list[Any]) -> None:
         return None
@@ -266,18 +266,18 @@
     def again(self, parts: list[Any]) -> dict[str, Any]:
         return {"again": True}
 
-    def asking(self, parts: list[Any]) -> s.Asking:
+    def asking(self, parts: list[Any]) -> s.Traffic:
         count, turn, _, products, *rest = parts
         details: dict[str, Any] = {}
         for one in rest:
             if isinstance(one, dict):
                 details |= one
-        return s.Asking(count, str(turn), products, line=turn.line, **details)  # type: ignore[arg-type]
+        return s.Traffic(count, str(turn), products, line=turn.line, **details)  # type: ignore[arg-type]
 
     @_placed
-    def history(self, parts: list[Any]) -> s.History:
+    def history(self, parts: list[Any]) -> s.EarlierTraffic:
         asking = self.asking(parts)
-        return s.History(asking)
+        return s.EarlierTraffic(asking)
 
     # Claims.
 
@@ -311,11 +311,11 @@
     def within(self, parts: list[Any]) -> s.Answered:
         return s.Answered(parts[0])
 
-    def at_most(self, parts: list[Any]) -> s.Legs:
-        return s.Legs(self.whole(parts[0], "legs"), exactly=False)
+    def at_most(self, parts: list[Any]) -> s.LegCount:
+        return s.LegCount(self.whole(parts[0], "legs"), exactly=False)
 
-    def exactly(self, parts: list[Any]) -> s.Legs:
-        return s.Legs(self.whole(parts[0], "legs"), exactly=True)
+    def exactly(self, parts: list[Any]) -> s.LegCount:
+        return s.LegCount(self.whole(parts[0], "legs"), exactly=True)
 
     def released(self, parts: list[Any]) -> s.Released:
         return s.Released(parts[0])
@@ -352,19 +352,19 @@
     def share_least(self, parts: list[Any]) -> s.Share:
         return self._share(self.percent_of(parts[0]), 100.0, parts[0], parts[1:])
 
-    def rules(self, parts: list[Any]) -> s.Rules:
-        return s.Rules(None)
+    def rules(self, parts: list[Any]) -> s.RuleHolds:
+        return s.RuleHolds(None)
 
-    def rule(self, parts: list[Any]) -> s.Rules:
-        return s.Rules(str(parts[0]))
+    def rule(self, parts: list[Any]) -> s.RuleHolds:
+        return s.RuleHolds(str(parts[0]))
 
     def quantifier(self, parts: list[Any]) -> tuple[str, s.Where | None]:
         return str(parts[1]), parts[2]
 
     @v_args(meta=True)
-    def then(self, meta: Any, parts: list[Any]) -> s.Then:
+    def then(self, meta: Any, parts: list[Any]) -> s.Expectation:
         every, of = parts[0] or (None, None)
-        return s.Then(parts[1], every, of, line=getattr(meta, "line", 0))
+        return s.Expectation(parts[1], every, of, line=getattr(meta, "line", 0))
 
     def number(self, parts: list[Any]) -> float:
         return float(parts[0])
@@ -379,24 +379,28 @@
         return False
 
     @v_args(meta=True)
-    def setting(self, meta: Any, parts: list[Any]) -> s.Then:
-        return s.Then(s.Fact(self.plain(parts[0]), parts[-1]), line=meta.line)
+    def setting(self, meta: Any, parts: list[Any]) -> s.Expectation:
+        return s.Expectation(s.SettingClaim(self.plain(parts[0]), parts[-1]), line=meta.line)
 
     @v_args(meta=True)
-    def there_are(self, meta: Any, parts: list[Any]) -> s.Then:
-        return s.Then(s.Count(self.whole(parts[1], "servers"), parts[-1], least=False), line=meta.line)
+    def there_are(self, meta: Any, parts: list[Any]) -> s.Expectation:
+        return s.Expectation(
+            s.ServerCount(self.whole(parts[1], "servers"), parts[-1], least=False), line=meta.line
+        )
 
     @v_args(meta=True)
-    def there_are_least(self, meta: Any, parts: list[Any]) -> s.Then:
-        return s.Then(s.Count(self.whole(parts[1], "servers"), parts[-1], least=True), line=meta.line)
+    def there_are_least(self, meta: Any, parts: list[Any]) -> s.Expectation:
+        return s.Expectation(
+            s.ServerCount(self.whole(parts[1], "servers"), parts[-1], least=True), line=meta.line
+        )
 
     @v_args(meta=True)
-    def all_ready(self, meta: Any, parts: list[Any]) -> s.Then:
-        return s.Then(s.Each(parts[0], None), line=meta.line)
+    def all_ready(self, meta: Any, parts: list[Any]) -> s.Expectation:
+        return s.Expectation(s.EachServer(parts[0], None), line=meta.line)
 
     @v_args(meta=True)
-    def all_weigh(self, meta: Any, parts: list[Any]) -> s.Then:
-        return s.Then(s.Each(parts[0], float(parts[-1])), line=meta.line)
+    def all_weigh(self, meta: Any, parts: list[Any]) -> s.Expectation:
+        return s.Expectation(s.EachServer(parts[0], float(parts[-1])), line=meta.line)
 
     # Items.
 
@@ -411,9 +415,9 @@
     @v_args(meta=True)
     def statement(self, meta: Any, parts: list[Any]) -> s.Statement:
         name, guard, *rest = parts
-        thens = tuple(one for one in rest if isinstance(one, s.Then))
-        asking = next((one for one in rest if isinstance(one, s.Asking)), None)
-        before = tuple(one for one in rest if not isinstance(one, (s.Then, s.Asking)))
+        thens = tuple(one for one in rest if isinstance(one, s.Expectation))
+        asking = next((one for one in rest if isinstance(one, s.Traffic)), None)
+        before = tuple(one for one in rest if not isinstance(one, (s.Expectation, s.Traffic)))
         return s.Statement(self.plain(name), guard is not None, before, asking, thens, line=meta.line)
 
     def start(self, parts: list[Any]) -> list[Any]:
@@ -434,7 +438,7 @@
     return "; ".join(sorted(shown)) or "nothing"
 
 
-def parse(text: str, file: str) -> s.Page:
+def parse(text: str, file: str) -> s.StatementFile:
     """Raises BadStatement."""
     if len(text) > MOST_BYTES:
         raise BadStatement(f"{file}: {len(text)} characters; at most {MOST_BYTES} are read")
@@ -472,7 +476,7 @@
             what = type(one).__name__.lower()
             raise BadStatement(f'{file}:{one.line}:1: {what} "{one.name}" stands in line {seen[key]} already')
         seen[key] = one.line
-    return s.Page(file, tuple(items), comments(text))
+    return s.StatementFile(file, tuple(items), comments(text))
 
 
 def comments(text: str) -> tuple[tuple[int, str], ...]:
@@ -488,7 +492,7 @@
     return tuple(found)
 
 
-def read_page(path: Path) -> s.Page:
+def read_statement_file(path: Path) -> s.StatementFile:
     """Raises BadStatement, also on files that can't be read, are too large or are not UTF-8."""
     try:
         with path.open("rb") as source:
--- a/stackpitch/expect/report.py
+++ b/stackpitch/expect/report.py
@@ -3,7 +3,7 @@
 from typing import Any
 from xml.etree import ElementTree
 
-from stackpitch.expect.judge import Judge, Play, Vacuous, Verdict, shrink
+from stackpitch.expect.evaluate import Evaluator, StatementRun, Vacuous, Verdict, minimize_failure
 
 BOARD = 10  # lines of candidates shown of each role
 
@@ -16,8 +16,8 @@
                 "file": one.file,
                 "line": one.statement.line,
                 "guard": one.statement.guard,
-                "verdict": one.word(),
-                "why": one.why(),
+                "verdict": one.label(),
+                "why": one.reason(),
                 "plays": one.plays,
             }
             for one in verdicts
@@ -50,21 +50,21 @@
             )
             if not one.passed:
                 inner = ElementTree.SubElement(
-                    case, "error" if one.error else "failure", message=one.why(), type=one.word()
+                    case, "error" if one.error else "failure", message=one.reason(), type=one.label()
                 )
                 inner.text = "\n".join(text for _, text in one.statement.lines())
     ElementTree.indent(root)
     return ElementTree.tostring(root, encoding="unicode", xml_declaration=True) + "\n"
 
 
-def story(judge: Judge, name: str, verdict: Verdict) -> list[str]:
+def explain_run(judge: Evaluator, name: str, verdict: Verdict) -> list[str]:
     """The play that failed, or else the first one, step by step, with the figures before each decision."""
     plan = judge.book.plan(name)
-    asking = plan.statement.asking
+    asking = plan.statement.traffic
     if asking is None or verdict.error:
         return []
     variant = next((one for one, _ in verdict.failed if one is not None), next(iter(judge.variants(asking))))
-    play = Play(judge, plan, variant, explain=True)
+    play = StatementRun(judge, plan, variant, explain=True)
     lines = [f"played for {variant.text()}:"]
     try:
         play.run()
@@ -97,13 +97,13 @@
     return lines
 
 
-def _well(play: Play, told: Any, verdict: Verdict) -> bool:
-    claims = [finding.then for _, finding in verdict.failed]
+def _well(play: StatementRun, told: Any, verdict: Verdict) -> bool:
+    claims = [result.expectation for _, result in verdict.failed]
     try:
         return all(
-            play._one(then, told, "").held
-            for then in claims
-            if then.every is None and hasattr(then.claim, "place")
+            play.evaluate_claim(expectation, told, "").holds
+            for expectation in claims
+            if expectation.every is None and hasattr(expectation.claim, "place")
         )
     except Vacuous:
         return True
@@ -133,18 +133,18 @@
     return lines
 
 
-def cause(judge: Judge, name: str) -> list[str]:
+def describe_cause(judge: Evaluator, name: str) -> list[str]:
     """What a failure needs, and which smallest change would make the statement hold."""
     plan = judge.book.plan(name)
-    if plan.statement.asking is None:
+    if plan.statement.traffic is None:
         return []
-    found = shrink(judge, plan)
+    found = minimize_failure(judge, plan)
     lines = [
-        f"for it to fail it is enough: {'; '.join(found.needs)}"
-        if found.needs
+        f"for it to fail it is enough: {'; '.join(found.required)}"
+        if found.required
         else "it fails without any circumstance"
     ]
-    lines += [f"it would hold {one}" for one in found.turns[:4]] or [
+    lines += [f"it would hold {one}" for one in found.fixes[:4]] or [
         "no single change that was tried makes it hold"
     ]
     return lines
@@ -158,13 +158,15 @@
         was = old.get(one.statement.name)
         if was is None:
             continue
-        if was.word() != one.word():
-            found.append((one.statement.name, f"{was.word()}, now {one.word()}", one.why() or was.why()))
+        if was.label() != one.label():
+            found.append(
+                (one.statement.name, f"{was.label()}, now {one.label()}", one.reason() or was.reason())
+            )
         elif was.decisions != one.decisions:
             pairs = [(a, b) for a, b in zip(was.decisions, one.decisions) if a != b]
             many = f"{len(pairs)} of {len(one.decisions)} decisions differ"
             example = (
                 f"{pairs[0][0]}  ->  {pairs[0][1].partition(': ')[2]}" if pairs else "their number differs"
             )
-            found.append((one.statement.name, f"{one.word()}, as before; {many}", example))
+            found.append((one.statement.name, f"{one.label()}, as before; {many}", example))
     return found
--- a/stackpitch/expect/syntax.py
+++ b/stackpitch/expect/syntax.py
@@ -50,34 +50,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Term:
-    sort: Literal["servers", "readers", "writers", "mixed servers", "server", "defined"]
+    selector: Literal["servers", "readers", "writers", "mixed servers", "server", "defined"]
     name: str = ""  # of the server or the definition
     filters: tuple[Filter, ...] = ()
 
     def text(self) -> str:
         head = {"server": f"server {name_text(self.name)}", "defined": f'"{self.name}"'}.get(
-            self.sort, self.sort
+            self.selector, self.selector
         )
         return " ".join([head, *(one.text() for one in self.filters)])
 
 
 @dataclass(frozen=True, slots=True)
 class Where:
-    """A set of servers: any of `terms`, none of `but`."""
+    """A set of servers: any of `terms`, none of `excluded`."""
 
     terms: tuple[Term, ...]
-    but: tuple[Term, ...] = ()
+    excluded: tuple[Term, ...] = ()
 
     def text(self) -> str:
         text = " or ".join(one.text() for one in self.terms)
-        return f"{text} except {' or '.join(one.text() for one in self.but)}" if self.but else text
+        return f"{text} except {' or '.join(one.text() for one in self.excluded)}" if self.excluded else text
 
 
 @dataclass(frozen=True, slots=True)
-class Dynamic:
+class DynamicPlace:
     """A place that depends on what happened before, or that a quantifier binds."""
 
-    what: Literal[
+    reference: Literal[
         "owner",
         "holder",
         "same rack",
@@ -93,10 +93,10 @@
             "owner": "the writer that served its earlier turn",
             "holder": "the rack already holding its opening",
             "same rack": "the rack of its reader",
-        }.get(self.what, self.what)
+        }.get(self.reference, self.reference)
 
 
-Place = Where | Dynamic
+Place = Where | DynamicPlace
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,7 +118,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class Located:
     line: int = field(default=0, compare=False, kw_only=True)
 
 
@@ -126,7 +126,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Given(Line):
+class Given(Located):
     name: str
 
     def text(self) -> str:
@@ -134,14 +134,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class While(Line):
+class ServerCondition(Located):
     amount: Amount
     where: Where
     state: str
     number: float = 0  # times for slow, percent for report, a duration for cold
 
     def text(self) -> str:
-        many = self.amount.how != "all" or len(self.where.terms) > 1 or self.where.terms[0].sort != "server"
+        many = (
+            self.amount.how != "all" or len(self.where.terms) > 1 or self.where.terms[0].selector != "server"
+        )
         ending, be = ("", "are") if many else ("s", "is")
         states = {
             "drains": f"drain{ending}",
@@ -160,7 +162,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Clock(Line):
+class TimeOfDay(Located):
     """The time of day, and of the week, at which the statement is played."""
 
     minute: int
@@ -173,7 +175,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Load(Line):
+class BackgroundLoad(Located):
     rate: float
 
     def text(self) -> str:
@@ -181,7 +183,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Deploy(Line):
+class Deploy(Located):
     where: Where
     size: int
     time: int
@@ -193,13 +195,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Restart(Line):
+class Restart(Located):
     def text(self) -> str:
         return "after a restart"
 
 
 @dataclass(frozen=True, slots=True)
-class Pause(Line):
+class Pause(Located):
     time: int
 
     def text(self) -> str:
@@ -207,16 +209,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Happens(Line):
+class LegEvent(Located):
     part: Literal["reader", "writer", "first leg"]
-    what: str
+    event: str
 
     def text(self) -> str:
-        return f"after its {self.part} {self.what}"
+        return f"after its {self.part} {self.event}"
 
 
 @dataclass(frozen=True, slots=True)
-class Leaves(Line):
+class ClientLeaves(Located):
     when: Literal["leaves", "leaves at once", "leaves mid-stream"]
 
     def text(self) -> str:
@@ -224,7 +226,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asking(Line):
+class Traffic(Located):
     """Generations: `products` and `customers` empty mean every one."""
 
     count: int | None  # None: one
@@ -271,14 +273,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class History(Line):
-    asking: Asking
+class EarlierTraffic(Located):
+    traffic: Traffic
 
     def text(self) -> str:
-        return f"after {self.asking.text()}"
-
-
-Circumstance = Given | While | Clock | Load | Deploy | Restart | Pause | Happens | Leaves | History
+        return f"after {self.traffic.text()}"
+
+
+Circumstance = (
+    Given
+    | ServerCondition
+    | TimeOfDay
+    | BackgroundLoad
+    | Deploy
+    | Restart
+    | Pause
+    | LegEvent
+    | ClientLeaves
+    | EarlierTraffic
+)
 
 # Claims.
 
@@ -300,18 +313,18 @@
 @dataclass(frozen=True, slots=True)
 class Ended:
     how: Ending
-    wanted: bool
+    expected: bool
 
     def text(self) -> str:
-        return f"it is {'' if self.wanted else 'not '}{self.how}"
+        return f"it is {'' if self.expected else 'not '}{self.how}"
 
 
 @dataclass(frozen=True, slots=True)
 class Resent:
-    wanted: bool
+    expected: bool
 
     def text(self) -> str:
-        return f"it is {'' if self.wanted else 'not '}sent again"
+        return f"it is {'' if self.expected else 'not '}sent again"
 
 
 @dataclass(frozen=True, slots=True)
@@ -329,7 +342,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Legs:
+class LegCount:
     count: int
     exactly: bool
 
@@ -348,12 +361,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """Of many generations, in percent. `what` is a place that they go to, or how they end."""
+    """Of many generations, in percent. `target` is a place that they go to, or how they end."""
 
     low: float
     high: float
     part: Part
-    what: Place | Ending
+    target: Place | Ending
     confidence: float = 99.0
 
     def text(self) -> str:
@@ -365,18 +378,18 @@
             if self.high == 100
             else (f"between {low}% and {high}%")
         )
-        if isinstance(self.what, str):
-            verb = f"are {self.what}"
+        if isinstance(self.target, str):
+            verb = f"are {self.target}"
         else:
             verb = {"any": "go to", "read": "are read by", "written": "are written by"}[
                 self.part
-            ] + f" {self.what.text()}"
+            ] + f" {self.target.text()}"
         sure = f" with {number_text(self.confidence)}% confidence" if self.confidence != 99 else ""
         return f"{share} of them {verb}{sure}"
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class RuleHolds:
     name: str | None  # None: all five
 
     def text(self) -> str:
@@ -384,7 +397,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fact:
+class SettingClaim:
     path: str
     value: float | str | bool
 
@@ -401,7 +414,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Count:
+class ServerCount:
     """How many servers the fleet has of a set."""
 
     count: int
@@ -413,24 +426,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Each:
+class EachServer:
     """What the list says of each server of a set: that it is ready, or what it weighs."""
 
     where: Where
     weight: float | None
 
     def text(self) -> str:
-        many = len(self.where.terms) > 1 or self.where.terms[0].sort != "server"
+        many = len(self.where.terms) > 1 or self.where.terms[0].selector != "server"
         if self.weight is None:
             return f"all {self.where.text()} {'are' if many else 'is'} ready"
         return f"all {self.where.text()} weigh{'' if many else 's'} {number_text(self.weight)}"
 
 
-Claim = Goes | Ended | Resent | Answered | Legs | Released | Share | Rules | Fact | Count | Each
+Claim = (
+    Goes
+    | Ended
+    | Resent
+    | Answered
+    | LegCount
+    | Released
+    | Share
+    | RuleHolds
+    | SettingClaim
+    | ServerCount
+    | EachServer
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Then(Line):
+class Expectation(Located):
     claim: Claim
     every: Literal["rack", "zone", "server"] | None = None
     of: Where | None = None
@@ -441,7 +466,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Definition(Line):
+class Definition(Located):
     name: str
     where: Where
 
@@ -450,7 +475,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Situation(Line):
+class Situation(Located):
     name: str
     circumstances: tuple[Circumstance, ...]
 
@@ -461,25 +486,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Statement(Line):
+class Statement(Located):
     name: str
     guard: bool
     circumstances: tuple[Circumstance, ...]
-    asking: Asking | None  # None: about settings alone
-    thens: tuple[Then, ...]
+    traffic: Traffic | None  # None: about settings alone
+    expectations: tuple[Expectation, ...]
 
     def lines(self) -> Iterator[tuple[int, str]]:
         yield self.line, f'statement "{self.name}"{" (guard)" if self.guard else ""}:'
         for one in self.circumstances:
             yield one.line, f"  {one.text()}"
-        if self.asking is not None:
-            yield self.asking.line, f"  {self.asking.when_text()}"
-        for number, then in enumerate(self.thens):
+        if self.traffic is not None:
+            yield self.traffic.line, f"  {self.traffic.when_text()}"
+        for number, then in enumerate(self.expectations):
             yield then.line, f"  {'and' if number else 'then'} {then.text()}"
 
 
 @dataclass(frozen=True, slots=True)
-class Page:
+class StatementFile:
     """One file."""
 
     file: str = field(compare=False)
--- a/stackpitch/expect/watchlist.py
+++ b/stackpitch/expect/watchlist.py
@@ -3,28 +3,28 @@
 from stackpitch.expect import syntax as s
 from stackpitch.expect.book import Book
 from stackpitch.expect.deployment import Deployment
-from stackpitch.expect.judge import Judge
+from stackpitch.expect.evaluate import Evaluator
 
 STATES = ("drains", "gone", "cold", "hangs", "shunned", "full", "slow", "report", "refuse", "reset")
 OUTCOMES = ("streamed", "read", "error", "full", "time-out", "unreachable", "reset", "cancelled")
 ENDS = ("streamed", "throttled", "terminated", "departed")
 
 
-def untouched(book: Book, of: Deployment, judge: Judge) -> dict[str, list[str]]:
+def untouched(book: Book, of: Deployment, judge: Evaluator) -> dict[str, list[str]]:
     """By subject, what is left once `judge` has judged all statements."""
-    touched = judge.touched
+    touched = judge.coverage
     named = set[str]()
     for name in book.statements:
         plan = book.plan(name)
-        wheres = [one.where for one in plan.circumstances if isinstance(one, s.While | s.Deploy)]
-        for then in plan.statement.thens:
+        wheres = [one.where for one in plan.circumstances if isinstance(one, s.ServerCondition | s.Deploy)]
+        for then in plan.statement.expectations:
             place = (
                 then.claim.place
                 if isinstance(then.claim, s.Goes)
-                else (then.claim.what if isinstance(then.claim, s.Share) else None)
+                else (then.claim.target if isinstance(then.claim, s.Share) else None)
             )
             wheres += [one for one in (place, then.of) if isinstance(one, s.Where)]
-            if isinstance(then.claim, s.Count | s.Each):
+            if isinstance(then.claim, s.ServerCount | s.EachServer):
                 wheres.append(then.claim.where)
             if then.every is not None:
                 named |= (
--- a/stackpitch/membership/bundle.py
+++ b/stackpitch/membership/bundle.py
@@ -12,8 +12,8 @@
 
 from stackpitch.expect.book import Book
 from stackpitch.expect.deployment import deployment
-from stackpitch.expect.judge import Judge
-from stackpitch.expect.parse import BadStatement, read_page
+from stackpitch.expect.evaluate import Evaluator
+from stackpitch.expect.parse import BadStatement, read_statement_file
 from stackpitch.membership.entries import Entry, digest
 from stackpitch.settings import BadSettings, Fleet, Listed, Settings, Weights, read
 from stackpitch.settings.load import check
@@ -124,7 +124,7 @@
     """Statements marked as guards that do not hold, and how many there are."""
     if not settings.statements:
         return [], 0
-    book = Book([read_page(path) for path in statement_files(settings)])
+    book = Book([read_statement_file(path) for path in statement_files(settings)])
     weighed = check(
         Fleet,
         {
@@ -136,11 +136,11 @@
         },
         "list",
     )
-    judge = Judge(book, deployment(settings, weighed))
+    judge = Evaluator(book, deployment(settings, weighed))
     names = [name for name, (_, one) in book.statements.items() if one.guard]
     return [
-        f'{one.file}:{one.statement.line}: guard "{one.statement.name}" {one.word()}: {one.why()}'
-        for one in judge.all(names)
+        f'{one.file}:{one.statement.line}: guard "{one.statement.name}" {one.label()}: {one.reason()}'
+        for one in judge.evaluate_all(names)
         if not one.passed
     ], len(names)
 
--- a/tests/test_expect.py
+++ b/tests/test_expect.py
@@ -18,7 +18,7 @@
 from stackpitch.expect import syntax as s
 from stackpitch.expect.book import Book
 from stackpitch.expect.deployment import deployment
-from stackpitch.expect.judge import Judge, interval, shrink
+from stackpitch.expect.evaluate import Evaluator, minimize_failure, wilson_interval
 from stackpitch.expect.layout import layout
 from stackpitch.expect.parse import BadStatement, parse
 from stackpitch.preferences import RuledBrain
@@ -40,8 +40,8 @@
 def judged(text, name="hall-20", settings=None, fleet=None, make=RuledBrain):
     given, _ = read(name)
     book = Book([parse(text, "made.expect")])
-    judge = Judge(book, deployment(settings or given.settings, fleet or given.fleet), make=make)
-    return judge, {one.statement.name: one for one in judge.all()}
+    judge = Evaluator(book, deployment(settings or given.settings, fleet or given.fleet), make_brain=make)
+    return judge, {one.statement.name: one for one in judge.evaluate_all()}
 
 
 def changed(given, path, value):
@@ -69,8 +69,8 @@
 @pytest.mark.parametrize("name", ["hall-20", "twin-50"])
 def test_starter_sets_hold(name):
     given, book = read(name)
-    judge = Judge(book, given.deployment())
-    assert {one.statement.name: one.why() for one in judge.all() if not one.passed} == {}
+    judge = Evaluator(book, given.deployment())
+    assert {one.statement.name: one.reason() for one in judge.evaluate_all() if not one.passed} == {}
     assert book.contradictions(judge.sets) == []
 
 
@@ -131,8 +131,8 @@
 def test_a_broken_configuration_fails_by_name(name, path, value, statement):
     given, book = read(name)
     settings, fleet = changed(given, path, value)
-    judge = Judge(book, deployment(settings, fleet))
-    assert not judge.judge(statement).passed
+    judge = Evaluator(book, deployment(settings, fleet))
+    assert not judge.evaluate(statement).passed
 
 
 WELL = """statement "a":
@@ -167,7 +167,7 @@
         .replace("reserva comes", "reserva come")
     )
     _, found = judged(text)
-    assert tuple(found[name].word() for name in "abc")[::2] == words[::2]
+    assert tuple(found[name].label() for name in "abc")[::2] == words[::2]
 
 
 CASES = [  # what is stated, its word, and what the reason holds
@@ -295,7 +295,7 @@
 @pytest.mark.parametrize("text,word,why", CASES)
 def test_verdicts(text, word, why):
     _, found = judged(f'statement "x": {text}')
-    assert found["x"].word() == word and why in found["x"].why(), found["x"].why()
+    assert found["x"].label() == word and why in found["x"].reason(), found["x"].reason()
 
 
 def test_a_share_that_is_true_in_the_mean_and_false_for_one_rack():
@@ -311,7 +311,7 @@
     statement "each":
       when 600 first turns of consulta come then for every rack, at least 35% of them are read by that rack"""
     _, found = judged(text, settings=settings, fleet=fleet)
-    assert found["mean"].passed and found["each"].word() == "fails" and "rack 1" in found["each"].why()
+    assert found["mean"].passed and found["each"].label() == "fails" and "rack 1" in found["each"].reason()
 
 
 CLASHES = [
@@ -342,7 +342,7 @@
         )
 
     given, _ = read("hall-20")
-    sets = Judge(book(one, other), given.deployment()).sets
+    sets = Evaluator(book(one, other), given.deployment()).sets
     for first, second in ((one, other), (other, one)):
         assert [found[:2] for found in book(first, second).contradictions(sets)] == [("one", "two")]
     assert book(one, other, "reserva").contradictions(sets) == []
@@ -354,14 +354,15 @@
     given, book = read("twin-50")
     names = list(book.statements)[:24]
     there = {
-        one.statement.name: (one.word(), one.decisions) for one in Judge(book, given.deployment()).all(names)
+        one.statement.name: (one.label(), one.decisions)
+        for one in Evaluator(book, given.deployment()).evaluate_all(names)
     }
     back = {
-        one.statement.name: (one.word(), one.decisions)
-        for one in Judge(book, given.deployment()).all(names[::-1])
+        one.statement.name: (one.label(), one.decisions)
+        for one in Evaluator(book, given.deployment()).evaluate_all(names[::-1])
     }
-    alone = Judge(book, given.deployment()).judge(names[7])
-    assert there == back and there[names[7]] == (alone.word(), alone.decisions)
+    alone = Evaluator(book, given.deployment()).evaluate(names[7])
+    assert there == back and there[names[7]] == (alone.label(), alone.decisions)
 
 
 def test_a_failure_tells_what_it_hangs_on():
@@ -372,10 +373,10 @@
       when a first turn of reserva comes, opening "p"
       then it is streamed"""
     judge, found = judged(text)
-    cause = shrink(judge, judge.book.plan("x"))
-    assert cause.needs == ["after its writer resets before output"]
-    assert 'without "after its writer resets before output"' in cause.turns and "for consulta" in cause.turns
-    told = "\n".join(report.story(judge, "x", found["x"]))
+    cause = minimize_failure(judge, judge.book.plan("x"))
+    assert cause.required == ["after its writer resets before output"]
+    assert 'without "after its writer resets before output"' in cause.fixes and "for consulta" in cause.fixes
+    told = "\n".join(report.explain_run(judge, "x", found["x"]))
     for part in ("is sent to", "held", "reset", "is terminated", "what it holds is let go"):
         assert part in told
 
@@ -458,13 +459,13 @@
 def test_the_dry_world_sees_each_rule_broken(rule, make, situation):
     text = f'statement "x": {situation} when 60 first turns of reserva come, at 50 a second then rule {rule} holds'
     assert judged(text)[1]["x"].passed
-    assert judged(text, make=make)[1]["x"].word() == "fails"
+    assert judged(text, make=make)[1]["x"].label() == "fails"
 
 
 def test_intervals():
     """Against the published example of Wilson's interval: 10 of 20 at 95% gives 0.299 to 0.701."""
-    assert interval(10, 20, 0.95) == pytest.approx((0.299, 0.701), abs=0.001)
-    assert interval(0, 50, 0.99)[0] == 0 and interval(50, 50, 0.99)[1] == 1
+    assert wilson_interval(10, 20, 0.95) == pytest.approx((0.299, 0.701), abs=0.001)
+    assert wilson_interval(0, 50, 0.99)[0] == 0 and wilson_interval(50, 50, 0.99)[1] == 1
 
 
 def test_most_changes_are_noticed():
@@ -511,9 +512,9 @@
 
 def test_definitions_that_lead_back_to_themselves():
     text = 'define "a" as "b"\ndefine "b" as "a"\nstatement "x": when a first turn of consulta comes then it goes to "a"'
-    assert "leads back to itself" in judged(text)[1]["x"].why()
+    assert "leads back to itself" in judged(text)[1]["x"].reason()
     text = 'situation "a": given "a"\nstatement "x": given "a" when a first turn of consulta comes then it is streamed'
-    assert "leads back to itself" in judged(text)[1]["x"].why()
+    assert "leads back to itself" in judged(text)[1]["x"].reason()
 
 
 WORDS = [
@@ -607,7 +608,7 @@
     st.tuples(st.just("slow"), st.sampled_from([1.5, 20.0])),
 )
 ASKINGS = st.builds(
-    s.Asking,
+    s.Traffic,
     st.one_of(st.none(), COUNTS),
     st.sampled_from(["first", "second", "third", "later"]),
     st.lists(NAMES, max_size=2).map(tuple),
@@ -621,27 +622,27 @@
     st.booleans(),
 )
 CIRCUMSTANCES = st.one_of(
-    st.builds(lambda amount, where, state: s.While(amount, where, *state), AMOUNTS, WHERES, STATES),
+    st.builds(lambda amount, where, state: s.ServerCondition(amount, where, *state), AMOUNTS, WHERES, STATES),
     st.builds(s.Given, st.just("a night")),
-    st.builds(s.Load, st.sampled_from([0.5, 40.0])),
+    st.builds(s.BackgroundLoad, st.sampled_from([0.5, 40.0])),
     st.just(s.Restart()),
     st.builds(s.Deploy, WHERES, COUNTS, st.integers(1, 10**6)),
     st.builds(s.Pause, st.integers(0, 10**6)),
-    st.builds(s.Clock, st.integers(0, 1439), st.integers(0, 6)),
-    st.builds(s.History, ASKINGS),
+    st.builds(s.TimeOfDay, st.integers(0, 1439), st.integers(0, 6)),
+    st.builds(s.EarlierTraffic, ASKINGS),
     st.builds(
-        s.Happens,
+        s.LegEvent,
         st.sampled_from(["reader", "writer", "first leg"]),
         st.sampled_from(
             ["resets before output", "times out", "can't be reached", "is full", "breaks mid-stream"]
         ),
     ),
-    st.builds(s.Leaves, st.sampled_from(["leaves", "leaves at once", "leaves mid-stream"])),
+    st.builds(s.ClientLeaves, st.sampled_from(["leaves", "leaves at once", "leaves mid-stream"])),
 )
 PLACES = st.one_of(
     WHERES,
     st.builds(
-        s.Dynamic,
+        s.DynamicPlace,
         st.sampled_from(
             [
                 "owner",
@@ -663,7 +664,7 @@
     st.builds(s.Goes, st.just("any"), PLACES, st.just(True)),
     st.builds(s.Ended, ENDS, st.booleans()),
     st.builds(s.Resent, st.booleans()),
-    st.builds(s.Legs, COUNTS, st.booleans()),
+    st.builds(s.LegCount, COUNTS, st.booleans()),
     st.builds(s.Answered, st.one_of(st.none(), st.integers(0, 10**6))),
     st.builds(s.Released, st.integers(0, 10**6)),
     st.builds(
@@ -675,18 +676,22 @@
         st.one_of(PLACES, ENDS),
         st.sampled_from([99.0, 95.0]),
     ),
-    st.builds(s.Rules, st.one_of(st.none(), st.sampled_from(["answered", "pinned"]))),
+    st.builds(s.RuleHolds, st.one_of(st.none(), st.sampled_from(["answered", "pinned"]))),
 )
 THENS = st.one_of(
-    st.builds(s.Then, CLAIMS),
-    st.builds(s.Then, CLAIMS, st.sampled_from(["rack", "zone", "server"]), st.one_of(st.none(), WHERES)),
+    st.builds(s.Expectation, CLAIMS),
+    st.builds(
+        s.Expectation, CLAIMS, st.sampled_from(["rack", "zone", "server"]), st.one_of(st.none(), WHERES)
+    ),
 )
 FACTS = st.builds(
-    s.Then,
+    s.Expectation,
     st.one_of(
-        st.builds(s.Fact, st.just("a.b"), st.one_of(st.booleans(), COUNTS.map(float), st.just("text"))),
-        st.builds(s.Count, COUNTS, WHERES, st.booleans()),
-        st.builds(s.Each, WHERES, st.one_of(st.none(), COUNTS.map(float))),
+        st.builds(
+            s.SettingClaim, st.just("a.b"), st.one_of(st.booleans(), COUNTS.map(float), st.just("text"))
+        ),
+        st.builds(s.ServerCount, COUNTS, WHERES, st.booleans()),
+        st.builds(s.EachServer, WHERES, st.one_of(st.none(), COUNTS.map(float))),
     ),
 )
 STATEMENTS = st.one_of(
@@ -712,7 +717,7 @@
 @settings(max_examples=300, deadline=2000)
 @given(STATEMENTS)
 def test_what_is_written_is_read_back(statement):
-    page = s.Page("x", (s.Definition("some racks", s.Where((s.Term("servers"),))), statement))
+    page = s.StatementFile("x", (s.Definition("some racks", s.Where((s.Term("servers"),))), statement))
     text = layout(page)
     again = parse(text, "x")
     assert again == page, text
@@ -916,22 +921,22 @@
     given, _ = read("hall-20")
     with_them = check(Settings, given.settings.model_dump() | {"rules": rules}, "x")
     found = judged(f'statement "x": {text}', settings=with_them)[1]["x"]
-    assert found.passed, found.why()
+    assert found.passed, found.reason()
     if hold:
-        assert judged(f'statement "x": {text}')[1]["x"].word() == "fails"
+        assert judged(f'statement "x": {text}')[1]["x"].label() == "fails"
 
 
 def test_without_rules_the_module_is_as_before():
     """All decisions of the set for 20 servers, with the plain module and with the one that takes rules."""
     given, book = read("hall-20")
     names = list(book.statements)
-    ruled = [one.decisions for one in Judge(book, given.deployment()).all(names)]
+    ruled = [one.decisions for one in Evaluator(book, given.deployment()).evaluate_all(names)]
     plain = [
         one.decisions
-        for one in Judge(
+        for one in Evaluator(
             book,
             given.deployment(),
-            make=lambda gateway, seed, preferences, **arguments: Brain(gateway, seed, **arguments),
-        ).all(names)
+            make_brain=lambda gateway, seed, preferences, **arguments: Brain(gateway, seed, **arguments),
+        ).evaluate_all(names)
     ]
     assert ruled == plain and sum(map(len, ruled)) > 500
