--- a/stackpitch/expect/book.py
+++ b/stackpitch/expect/book.py
@@ -28,7 +28,7 @@
     Raises BadStatement on a name that is used twice.
     """
 
-    def __init__(self, pages: Iterable[s.Page]) -> None:
+    def __init__(self, pages: Iterable[s.StatementFile]) -> None:
         self.definitions: dict[str, s.Definition] = {}
         self.situations: dict[str, s.Situation] = {}
         self.statements: dict[str, tuple[str, s.Statement]] = {}  # file and statement
@@ -80,9 +80,9 @@
         """Raises BadStatement if the statement can't apply to the configuration."""
         location, statement = plan.location, plan.statement
         askings = [
-            circumstance.asking for circumstance in plan.circumstances if isinstance(circumstance, s.History)
+            circumstance.traffic for circumstance in plan.circumstances if isinstance(circumstance, s.EarlierTraffic)
         ]
-        askings += [statement.asking] if statement.asking is not None else []
+        askings += [statement.traffic] if statement.traffic is not None else []
         for asking in askings:
             for product in asking.products:
                 if product not in deployment.products:
@@ -99,10 +99,10 @@
             if asking.customers == () and not deployment.customers:
                 raise BadStatement(f"{location}: every customer: this configuration has none")
         for circumstance in plan.circumstances:
-            if isinstance(circumstance, s.While | s.Deploy):
+            if isinstance(circumstance, s.ServerCondition | s.Deploy):
                 names = sets.select(circumstance.where, location)
                 if (
-                    isinstance(circumstance, s.While)
+                    isinstance(circumstance, s.ServerCondition)
                     and circumstance.amount.how in ("some", "all but")
                     and circumstance.amount.number > len(names)
                 ):
@@ -110,29 +110,29 @@
                         f'{location}: "{circumstance.where.text()}" means {len(names)} servers, not '
                         f"{circumstance.amount.number:g}"
                     )
-        for then in statement.thens:
+        for then in statement.expectations:
             claim = then.claim
             if then.of is not None:
                 sets.select(then.of, location)
             place = (
                 claim.place
                 if isinstance(claim, s.Goes)
-                else claim.what
+                else claim.target
                 if isinstance(claim, s.Share)
                 else None
             )
             if isinstance(place, s.Where):
                 sets.select(place, location)
             if (
-                isinstance(place, s.Dynamic)
-                and place.what.startswith("that ")
-                and place.what != f"that {then.every}"
+                isinstance(place, s.DynamicPlace)
+                and place.reference.startswith("that ")
+                and place.reference != f"that {then.every}"
             ):
                 raise BadStatement(
-                    f'{location}: "{place.text()}": nothing says which; begin with "for every {place.what[5:]},"'
+                    f'{location}: "{place.text()}": nothing says which; begin with "for every {place.reference[5:]},"'
                 )
             if isinstance(claim, s.Share) and (
-                statement.asking is None or (statement.asking.count or 1) < 20
+                statement.traffic is None or (statement.traffic.count or 1) < 20
             ):
                 raise BadStatement(f'{location}: "{claim.text()}": a share is of many; say 20 turns at least')
 
@@ -145,7 +145,7 @@
         groups: dict[object, list[s.Statement]] = {}
         for name in self.statements:
             plan = self.plan(name)
-            asking = plan.statement.asking
+            asking = plan.statement.traffic
             key = None if asking is None else (plan.circumstances, replace(asking, products=()))
             groups.setdefault(key, []).append(plan.statement)
         contradictions = []
@@ -159,12 +159,12 @@
 
     @staticmethod
     def _find_clash(statement: s.Statement, other: s.Statement, sets: ServerSets) -> str | None:
-        if statement.asking is not None and other.asking is not None:
-            products, other_products = set(statement.asking.products), set(other.asking.products)
+        if statement.traffic is not None and other.traffic is not None:
+            products, other_products = set(statement.traffic.products), set(other.traffic.products)
             if products and other_products and not products & other_products:
                 return None
-        for index, then in enumerate(statement.thens):
-            for other_then in other.thens[index + 1 :] if statement is other else other.thens:
+        for index, then in enumerate(statement.expectations):
+            for other_then in other.expectations[index + 1 :] if statement is other else other.expectations:
                 if (then.every, then.of) == (other_then.every, other_then.of) and (
                     claims_clash(then.claim, other_then.claim, sets)
                     or claims_clash(other_then.claim, then.claim, sets)
@@ -179,11 +179,11 @@
     Not symmetric: call it with the claims in both orders.
     """
     if isinstance(claim, s.Ended) and isinstance(other, s.Ended):
-        return claim.wanted and (
-            (other.wanted and claim.how != other.how) or (not other.wanted and claim.how == other.how)
+        return claim.expected and (
+            (other.expected and claim.how != other.how) or (not other.expected and claim.how == other.how)
         )
     if isinstance(claim, s.Ended) and isinstance(other, s.Goes):
-        return claim.wanted and claim.how == "throttled" and not other.never and other.part == "written"
+        return claim.expected and claim.how == "throttled" and not other.never and other.part == "written"
     if isinstance(claim, s.Goes) and isinstance(other, s.Goes) and not claim.never:
         if isinstance(claim.place, s.Where) and isinstance(other.place, s.Where):
             names, other_names = sets.select(claim.place, ""), sets.select(other.place, "")
@@ -195,18 +195,18 @@
             )
             return bool(comparable) and not names & other_names
         return other.never and claim.place == other.place
-    if isinstance(claim, s.Legs) and isinstance(other, s.Legs):
+    if isinstance(claim, s.LegCount) and isinstance(other, s.LegCount):
         return other.exactly and (other.count != claim.count if claim.exactly else other.count > claim.count)
-    if isinstance(claim, s.Legs) and isinstance(other, s.Resent):
-        return other.wanted and claim.count < 2
+    if isinstance(claim, s.LegCount) and isinstance(other, s.Resent):
+        return other.expected and claim.count < 2
     if isinstance(claim, s.Resent) and isinstance(other, s.Resent):
-        return claim.wanted != other.wanted
+        return claim.expected != other.expected
     if isinstance(claim, s.Share) and isinstance(other, s.Share):
         return (
             claim.part == other.part
-            and claim.what == other.what
+            and claim.target == other.target
             and (claim.high < other.low or other.high < claim.low)
         )
-    if isinstance(claim, s.Fact) and isinstance(other, s.Fact):
+    if isinstance(claim, s.SettingClaim) and isinstance(other, s.SettingClaim):
         return claim.path == other.path and claim.value != other.value
     return False
--- a/stackpitch/expect/deployment.py
+++ b/stackpitch/expect/deployment.py
@@ -110,20 +110,20 @@
             *(self._resolve_term(term, location, open_definitions) for term in where.terms)
         )
         names -= frozenset().union(
-            *(self._resolve_term(term, location, open_definitions) for term in where.but)
+            *(self._resolve_term(term, location, open_definitions) for term in where.excluded)
         )
         if not names:
             raise BadStatement(f'{location}: no server is meant by "{where.text()}" in this configuration')
         return names
 
     def _resolve_term(self, term: Term, location: str, open_definitions: tuple[str, ...]) -> frozenset[str]:
-        if term.sort == "server":
+        if term.selector == "server":
             if term.name not in self.names:
                 raise BadStatement(
                     f'{location}: no server "{term.name}" in this configuration; {self._suggest(term.name)}'
                 )
             return frozenset((term.name,))
-        if term.sort == "defined":
+        if term.selector == "defined":
             if term.name in open_definitions or len(open_definitions) > 50:
                 raise BadStatement(f'{location}: definition "{term.name}" leads back to itself')
             if term.name not in self.definitions:
@@ -138,7 +138,7 @@
             candidates = [
                 server
                 for server in self.deployment.fleet
-                if term.sort == "servers" or server.role == ROLES[term.sort]
+                if term.selector == "servers" or server.role == ROLES[term.selector]
             ]
         for condition in term.filters:
             existing = {str(getattr(server, condition.field)) for server in self.deployment.fleet}
--- a/stackpitch/expect/formatter.py
+++ b/stackpitch/expect/formatter.py
@@ -5,10 +5,10 @@
 
 from collections.abc import Iterator
 
-from stackpitch.expect.syntax import Definition, Page
+from stackpitch.expect.syntax import Definition, StatementFile
 
 
-def _lines(page: Page) -> Iterator[tuple[int, str]]:
+def _lines(page: StatementFile) -> Iterator[tuple[int, str]]:
     """Each line with its former line number; 0 where that is unknown, -1 for an empty line."""
     for index, item in enumerate(page.items):
         if index and not (isinstance(item, Definition) and isinstance(page.items[index - 1], Definition)):
@@ -19,7 +19,7 @@
             yield from item.lines()
 
 
-def format_page(page: Page) -> str:
+def format_page(page: StatementFile) -> str:
     """The formatted text of a file. Formatting it again changes nothing."""
     out: list[str] = []
     pending = list(page.comments)
--- a/stackpitch/expect/mutate.py
+++ b/stackpitch/expect/mutate.py
@@ -12,7 +12,7 @@
 
 from stackpitch.expect.book import Book
 from stackpitch.expect.deployment import build_deployment
-from stackpitch.expect.judge import Judge
+from stackpitch.expect.evaluate import Evaluator
 from stackpitch.settings import BadSettings, Fleet, Settings
 from stackpitch.settings.load import check
 
@@ -157,12 +157,12 @@
 def verdict_words(book: Book, settings: Settings, fleet: Fleet) -> dict[str, str]:
     """The verdict of each statement, by name of the statement."""
     return {
-        verdict.statement.name: verdict.word()
-        for verdict in Judge(book, build_deployment(settings, fleet)).all()
+        verdict.statement.name: verdict.label()
+        for verdict in Evaluator(book, build_deployment(settings, fleet)).evaluate_all()
     }
 
 
 def noticed_by(book: Book, mutation: Mutation, words_before: dict[str, str], order: list[str]) -> str | None:
     """Name of the first statement, in this order, whose verdict the change alters; None if there is none."""
-    judge = Judge(book, build_deployment(mutation.settings, mutation.fleet))
-    return next((name for name in order if judge.judge(name).word() != words_before[name]), None)
+    judge = Evaluator(book, build_deployment(mutation.settings, mutation.fleet))
+    return next((name for name in order if judge.evaluate(name).label() != words_before[name]), None)
--- a/stackpitch/expect/uncovered.py
+++ b/stackpitch/expect/uncovered.py
@@ -3,32 +3,32 @@
 from stackpitch.expect import syntax as s
 from stackpitch.expect.book import Book
 from stackpitch.expect.deployment import Deployment
-from stackpitch.expect.judge import Judge
+from stackpitch.expect.evaluate import Evaluator
 
 STATES = ("drains", "gone", "cold", "hangs", "shunned", "full", "slow", "report", "refuse", "reset")
 OUTCOMES = ("streamed", "read", "error", "full", "time-out", "unreachable", "reset", "cancelled")
 GENERATION_ENDS = ("streamed", "throttled", "terminated", "departed")
 
 
-def uncovered_subjects(book: Book, deployment: Deployment, judge: Judge) -> dict[str, list[str]]:
+def uncovered_subjects(book: Book, deployment: Deployment, judge: Evaluator) -> dict[str, list[str]]:
     """What no statement covers, by subject. `judge` must have evaluated all statements."""
-    touched = judge.touched
+    touched = judge.coverage
     named_servers = set[str]()
     for name in book.statements:
         plan = book.plan(name)
         wheres = [
             circumstance.where
             for circumstance in plan.circumstances
-            if isinstance(circumstance, s.While | s.Deploy)
+            if isinstance(circumstance, s.ServerCondition | s.Deploy)
         ]
-        for then in plan.statement.thens:
+        for then in plan.statement.expectations:
             place = (
                 then.claim.place
                 if isinstance(then.claim, s.Goes)
-                else (then.claim.what if isinstance(then.claim, s.Share) else None)
+                else (then.claim.target if isinstance(then.claim, s.Share) else None)
             )
             wheres += [named for named in (place, then.of) if isinstance(named, s.Where)]
-            if isinstance(then.claim, s.Count | s.Each):
+            if isinstance(then.claim, s.ServerCount | s.EachServer):
                 wheres.append(then.claim.where)
             if then.every is not None:
                 named_servers |= (
--- a/stackpitch/membership/bundle.py
+++ b/stackpitch/membership/bundle.py
@@ -13,8 +13,8 @@
 
 from stackpitch.expect.book import Book
 from stackpitch.expect.deployment import build_deployment
-from stackpitch.expect.judge import Judge
-from stackpitch.expect.parse import BadStatement, read_page
+from stackpitch.expect.evaluate import Evaluator
+from stackpitch.expect.parse import BadStatement, read_statement_file
 from stackpitch.membership.entries import Entry, digest
 from stackpitch.settings import BadSettings, Fleet, Listed, Settings, Weights, read
 from stackpitch.settings.load import check
@@ -131,7 +131,7 @@
     """Evaluates the statements marked as guards: messages on those that fail, and the number of guards."""
     if not settings.statements:
         return [], 0
-    book = Book([read_page(path) for path in statement_files(settings)])
+    book = Book([read_statement_file(path) for path in statement_files(settings)])
     weighed = check(
         Fleet,
         {
@@ -143,11 +143,11 @@
         },
         "list",
     )
-    judge = Judge(book, build_deployment(settings, weighed))
+    judge = Evaluator(book, build_deployment(settings, weighed))
     names = [name for name, (_, statement) in book.statements.items() if statement.guard]
     return [
-        f'{verdict.file}:{verdict.statement.line}: guard "{verdict.statement.name}" {verdict.word()}: {verdict.why()}'
-        for verdict in judge.all(names)
+        f'{verdict.file}:{verdict.statement.line}: guard "{verdict.statement.name}" {verdict.label()}: {verdict.reason()}'
+        for verdict in judge.evaluate_all(names)
         if not verdict.passed
     ], len(names)
 
