--- a/stackpitch/expect/evaluate.py
+++ b/stackpitch/expect/evaluate.py
@@ -1,7 +1,7 @@
-"""Plays statements in the dry world and says what became of them. Pure; every verdict hangs on nothing but its input.
+"""Evaluates statements against dry runs of the decision module. Pure: a verdict depends on its input alone.
 
-A statement is played once for each product and customer that it names, and several times over with other names of
-sessions and other draws where it leaves something open: a claim on one generation must hold in every play.
+A statement is run once for each product and customer that it names. A statement about a single generation is
+also run with several draws, which vary session names and random choices; its claims must hold in every run.
 """
 
 from collections.abc import Callable, Iterator
@@ -18,18 +18,22 @@
 from stackpitch.interface import Server, Time
 from stackpitch.preferences import RuledBrain
 
-RELEASE = 100 * MS  # what is held with no leg out may wait so long; in a dry world nothing required longer
-LOOKS = 40  # a share is looked at after every so many generations, and no further once it is decided
-LEAD = 2 * SECOND  # that other generations come before what a statement is about
-TURNS = {"first": 0, "second": 1, "later": 1, "third": 2}
+# The longest that KV state or a reservation may be held with no leg outstanding; a dry run needs no longer.
+RELEASE_LIMIT = 100 * MS
+CHECK_INTERVAL = 40  # generations between two checks whether a share is decided, which ends the run early
+LOAD_LEAD_TIME = 2 * SECOND  # background load runs this long before the generations of the statement arrive
+# Turns of the session that are played before the turn that a statement names.
+EARLIER_TURNS = {"first": 0, "second": 1, "later": 1, "third": 2}
 
 
 class Vacuous(Exception):
-    """What a statement speaks of did not come about."""
+    """The situation that a statement describes did not occur in the run, so the statement proves nothing."""
 
 
 @dataclass(frozen=True, slots=True)
 class Variant:
+    """What one run of a statement is for: a product, a customer (None: no customer) and a draw from 0."""
+
     product: str
     customer: str | None
     draw: int
@@ -40,7 +44,7 @@
 
 @dataclass(slots=True)
 class ClaimResult:
-    """One claim in one play."""
+    """The result of one expectation in one run."""
 
     expectation: s.Expectation
     holds: bool
@@ -49,14 +53,16 @@
 
 @dataclass(slots=True)
 class Verdict:
+    """The result of one statement over all its runs."""
+
     statement: s.Statement
     file: str
     passed: bool = True
-    vacuous: str = ""  # what did not come about
-    error: str = ""  # why it can't apply
+    vacuous: str = ""  # what did not occur, if the statement is vacuous
+    error: str = ""  # why the statement can't apply to the configuration
     failed: list[tuple[Variant | None, ClaimResult]] = field(default_factory=list)
-    decisions: list[str] = field(default_factory=list)  # what became of the generations, a line each
-    plays: int = 0
+    decisions: list[str] = field(default_factory=list)  # one line for each generation: its legs and its end
+    plays: int = 0  # runs
 
     def label(self) -> str:
         return (
@@ -72,12 +78,12 @@
     def reason(self) -> str:
         if self.error or self.vacuous:
             return self.error or f"its situation never came about: {self.vacuous}"
-        return "; ".join(f"{one.expectation.text()}: {one.reason}" for _, one in self.failed[:3])
+        return "; ".join(f"{result.expectation.text()}: {result.reason}" for _, result in self.failed[:3])
 
 
 @dataclass(slots=True)
 class Coverage:
-    """What the plays of some statements came by; `stackpitch expect --coverage` shows what is left."""
+    """What the runs of some statements exercised; `stackpitch expect --coverage` shows the rest."""
 
     products: set[str] = field(default_factory=set)
     customers: set[str] = field(default_factory=set)
@@ -87,12 +93,13 @@
     ends: set[str] = field(default_factory=set)
 
     def add(self, other: "Coverage") -> None:
-        for one in fields(self):
-            getattr(self, one.name).update(getattr(other, one.name))
+        """Merges `other` into this coverage."""
+        for item in fields(self):
+            getattr(self, item.name).update(getattr(other, item.name))
 
 
 class Evaluator:
-    """One configuration and one book."""
+    """Evaluates the statements of one book against one configuration."""
 
     def __init__(
         self,
@@ -106,54 +113,58 @@
         self.coverage = Coverage()
 
     def evaluate_all(self, names: list[str] | None = None) -> Iterator[Verdict]:
+        """The verdicts of the named statements, or of all, in order."""
         for name in names if names is not None else self.book.statements:
             yield self.evaluate(name)
 
     def evaluate(self, name: str) -> Verdict:
+        """The verdict on one statement; one that can't apply has its `error` set."""
         file, statement = self.book.statements[name]
         try:
             plan = self.book.plan(name)
             self.book.check(plan, self.deployment, self.sets)
             return self.verdict(plan)
-        except BadStatement as wrong:
-            return Verdict(statement, file, passed=False, error=str(wrong))
+        except BadStatement as error:
+            return Verdict(statement, file, passed=False, error=str(error))
 
-    def variants(self, asking: s.Traffic) -> Iterator[Variant]:
-        products = asking.products or tuple(self.deployment.products)
+    def variants(self, traffic: s.Traffic) -> Iterator[Variant]:
+        """The runs that a statement with this traffic needs; several draws only for a single generation."""
+        products = traffic.products or tuple(self.deployment.products)
         customers: tuple[str | None, ...] = (
-            (None,) if asking.customers is None else (asking.customers or tuple(self.deployment.customers))
+            (None,) if traffic.customers is None else (traffic.customers or tuple(self.deployment.customers))
         )
-        for draw in range(self.draws if asking.count is None else 1):
+        for draw in range(self.draws if traffic.count is None else 1):
             for product in products:
                 for customer in customers:
                     yield Variant(product, customer, draw)
 
     def verdict(self, plan: Plan, first_only: bool = True) -> Verdict:
-        """Raises BadStatement. Stops at the first play that fails unless told otherwise."""
+        """Runs a plan in all variants, or up to the first that fails. Raises BadStatement."""
         verdict = Verdict(plan.statement, plan.file)
         if plan.statement.traffic is None:
             for expectation in plan.statement.expectations:
-                result = self._fact(expectation, plan.at)
+                result = self._check_configuration(expectation, plan.at)
                 if not result.holds:
                     verdict.failed.append((None, result))
             verdict.passed = not verdict.failed
             return verdict
         for variant in self.variants(plan.statement.traffic):
-            play = StatementRun(self, plan, variant)
+            run = StatementRun(self, plan, variant)
             verdict.plays += 1
             try:
-                results = play.run()
-            except Vacuous as wrong:
-                verdict.vacuous, verdict.passed = f"{wrong} ({variant.text()})", False
+                results = run.run()
+            except Vacuous as error:
+                verdict.vacuous, verdict.passed = f"{error} ({variant.text()})", False
                 return verdict
-            verdict.decisions += play.decisions()
-            verdict.failed += [(variant, one) for one in results if not one.holds]
+            verdict.decisions += run.decisions()
+            verdict.failed += [(variant, result) for result in results if not result.holds]
             if verdict.failed and first_only:
                 break
         verdict.passed = not verdict.failed
         return verdict
 
-    def _fact(self, expectation: s.Expectation, at: str) -> ClaimResult:
+    def _check_configuration(self, expectation: s.Expectation, at: str) -> ClaimResult:
+        """Checks a claim about settings or the server list, which needs no run. Raises BadStatement."""
         claim = expectation.claim
         if isinstance(claim, s.ServerCount):
             count = len(self.sets.select(claim.where, at))
@@ -164,17 +175,17 @@
             )
         if isinstance(claim, s.EachServer):
             names = self.sets.select(claim.where, at)
-            wrong = [
-                one
-                for one in self.deployment.fleet
-                if one.name in names
-                and (one.state != "ready" if claim.weight is None else one.weight != claim.weight)
+            mismatched = [
+                server
+                for server in self.deployment.fleet
+                if server.name in names
+                and (server.state != "ready" if claim.weight is None else server.weight != claim.weight)
             ]
-            said = [
-                f"{one.name} {f'is {one.state}' if claim.weight is None else f'weighs {one.weight:g}'}"
-                for one in wrong
+            descriptions = [
+                f"{server.name} {f'is {server.state}' if claim.weight is None else f'weighs {server.weight:g}'}"
+                for server in mismatched
             ]
-            return ClaimResult(expectation, not wrong, ", ".join(said[:5]))
+            return ClaimResult(expectation, not mismatched, ", ".join(descriptions[:5]))
         assert isinstance(claim, s.SettingClaim)
         value: Any = self.deployment.tree
         for step in claim.path.split("."):
@@ -185,205 +196,237 @@
 
 
 class StatementRun:
-    """One statement, one product, one customer, one draw."""
+    """One dry run of a statement for one variant. `explain` records the figures behind each decision."""
 
-    def __init__(self, judge: Evaluator, plan: Plan, variant: Variant, explain: bool = False) -> None:
-        asking = plan.statement.traffic
-        assert asking is not None
-        self.judge, self.plan, self.variant, self.traffic = judge, plan, variant, asking
-        self.mark = f"{plan.statement.name} {variant.product} {variant.customer} {variant.draw}"
+    def __init__(self, evaluator: Evaluator, plan: Plan, variant: Variant, explain: bool = False) -> None:
+        traffic = plan.statement.traffic
+        assert traffic is not None
+        self.evaluator, self.plan, self.variant, self.traffic = evaluator, plan, variant, traffic
+        self.run_id = f"{plan.statement.name} {variant.product} {variant.customer} {variant.draw}"
         clock = next(
-            (one for one in plan.circumstances if isinstance(one, s.TimeOfDay)), s.TimeOfDay(12 * 60)
+            (circumstance for circumstance in plan.circumstances if isinstance(circumstance, s.TimeOfDay)),
+            s.TimeOfDay(12 * 60),
+        )
+        self.dry = Dry(
+            evaluator.deployment, self.run_id, explain, clock.day, clock.minute, evaluator.make_brain
         )
-        self.dry = Dry(judge.deployment, self.mark, explain, clock.day, clock.minute, judge.make_brain)
         self.stories: list[Story] = []
-        self.script = [(one.part, one.event) for one in plan.circumstances if isinstance(one, s.LegEvent)]
-        self.leaves = next((one.when for one in plan.circumstances if isinstance(one, s.ClientLeaves)), "")
-        self.deploy: tuple[Time, Time] | None = None  # since when and until when one runs
-        self.live = True
+        self.leg_events = [
+            (circumstance.part, circumstance.event)
+            for circumstance in plan.circumstances
+            if isinstance(circumstance, s.LegEvent)
+        ]
+        self.client_leaves = next(
+            (
+                circumstance.when
+                for circumstance in plan.circumstances
+                if isinstance(circumstance, s.ClientLeaves)
+            ),
+            "",
+        )
+        self.deploy_window: tuple[Time, Time] | None = None  # start and end
+        self.load_running = True
 
     def run(self) -> list[ClaimResult]:
-        """Raises Vacuous and BadStatement."""
+        """Plays the run and checks every expectation. Raises Vacuous and BadStatement."""
         count = self.traffic.count or 1
-        before = [self._turns(number) for number in range(count)]
-        for one in self.plan.circumstances:
-            self._circumstance(one)
+        earlier = [self._play_earlier_turns(number) for number in range(count)]
+        for circumstance in self.plan.circumstances:
+            self._apply_circumstance(circumstance)
         shares = [
             expectation
             for expectation in self.plan.statement.expectations
             if isinstance(expectation.claim, s.Share)
         ]
         only_shares = 0 < len(shares) == len(self.plan.statement.expectations)
-        gap = round(SECOND / self.traffic.rate) if self.traffic.rate else 50 * MS
-        if self.deploy is not None and not self.traffic.rate:
-            begin, end = self.deploy
-            gap = (end - begin) // (count + 1)
-            self.dry.until(begin + gap)
+        interval = round(SECOND / self.traffic.rate) if self.traffic.rate else 50 * MS
+        if self.deploy_window is not None and not self.traffic.rate:
+            begin, end = self.deploy_window
+            interval = (end - begin) // (count + 1)
+            self.dry.until(begin + interval)
         for number in range(count):
-            self.stories.append(self._turn(number, before[number], TURNS[self.traffic.turn], main=True))
+            self.stories.append(
+                self._send_turn(number, earlier[number], EARLIER_TURNS[self.traffic.turn], main=True)
+            )
             if number + 1 < count:
-                self.dry.until(self.dry.now + gap)
-                if only_shares and number % LOOKS == LOOKS - 1 and self._decided(shares):
+                self.dry.until(self.dry.now + interval)
+                if (
+                    only_shares
+                    and number % CHECK_INTERVAL == CHECK_INTERVAL - 1
+                    and self._shares_decided(shares)
+                ):
                     break
-        self.live = False
+        self.load_running = False
         self.dry.settle()
-        self.dry.close(RELEASE)
-        self._note()
-        left = min(
-            (story.script for story in self.stories), key=len
-        )  # it is enough that it came about for one of them
-        if left:
-            raise Vacuous(f"its {left[0][0]} never came to where it {left[0][1]}")
-        if self.leaves and all(story.end != "departed" for story in self.stories):
+        self.dry.close(RELEASE_LIMIT)
+        self._record_coverage()
+        # It is enough that the leg events occurred for one of the generations.
+        pending_events = min((story.script for story in self.stories), key=len)
+        if pending_events:
+            raise Vacuous(f"its {pending_events[0][0]} never came to where it {pending_events[0][1]}")
+        if self.client_leaves and all(story.end != "departed" for story in self.stories):
             raise Vacuous("its client had its answer before it could leave")
         results, vacuous = list[ClaimResult](), list[Vacuous]()
         for expectation in self.plan.statement.expectations:
             try:
-                results.append(self._finding(expectation))
-            except Vacuous as wrong:
-                vacuous.append(wrong)
-        if vacuous and all(one.holds for one in results):
+                results.append(self._evaluate_expectation(expectation))
+            except Vacuous as error:
+                vacuous.append(error)
+        # A failed claim says more than one that could not be checked, so it takes precedence.
+        if vacuous and all(result.holds for result in results):
             raise vacuous[0]
-        return results  # a claim that failed says more than one that could not be looked at
+        return results
+
+    # Traffic and circumstances before the generations that the statement is about.
 
-    # What comes before.
+    def _play_earlier_turns(self, number: int) -> Story | None:
+        """Plays the earlier turns of session `number`, with all servers still as the fleet file lists them.
 
-    def _turns(self, number: int) -> Story | None:
-        """The earlier turns of a session, with all servers as the fleet's file has them."""
+        Raises Vacuous.
+        """
         story = None
-        for turn in range(TURNS[self.traffic.turn]):
-            story = self._turn(number, story, turn)
+        for turn in range(EARLIER_TURNS[self.traffic.turn]):
+            story = self._send_turn(number, story, turn)
             self.dry.settle(60 * SECOND)
             if story.end != "streamed":
                 raise Vacuous(f"its earlier turn was {story.end}, not streamed")
         return story
 
-    def _turn(
+    def _send_turn(
         self,
         number: int,
         earlier: Story | None,
         turn: int,
         main: bool = False,
-        asking: s.Traffic | None = None,
+        traffic: s.Traffic | None = None,
         product: str | None = None,
         session: str = "",
     ) -> Story:
-        asking = asking or self.traffic
-        prompt = asking.prompt_tok + turn * (asking.answer_tok + asking.adding_tok)
+        traffic = traffic or self.traffic
+        prompt = traffic.prompt_tok + turn * (traffic.answer_tok + traffic.adding_tok)
         customer = self.variant.customer
         return self.dry.ask(
-            self.judge.deployment.products[product or self.variant.product],
-            self.judge.deployment.customers[customer] if customer is not None else None,
-            session or f"{self.mark} {number}",
-            asking.opening,
-            asking.opening_tok,
+            self.evaluator.deployment.products[product or self.variant.product],
+            self.evaluator.deployment.customers[customer] if customer is not None else None,
+            session or f"{self.run_id} {number}",
+            traffic.opening,
+            traffic.opening_tok,
             prompt,
-            asking.answer_tok,
-            asking.again,
+            traffic.answer_tok,
+            traffic.again,
             earlier,
             main,
-            self.script if main else (),
-            self.leaves if main else "",
+            self.leg_events if main else (),
+            self.client_leaves if main else "",
         )
 
-    def _circumstance(self, one: s.Circumstance) -> None:
+    def _apply_circumstance(self, circumstance: s.Circumstance) -> None:
         dry = self.dry
-        if isinstance(one, s.TimeOfDay):
-            self.judge.coverage.states.add("clock")
-        elif isinstance(one, s.ServerCondition):
-            names = part(self.judge.sets.select(one.where, self.plan.at), one.amount, self.mark)
+        if isinstance(circumstance, s.TimeOfDay):
+            self.evaluator.coverage.states.add("clock")
+        elif isinstance(circumstance, s.ServerCondition):
+            names = part(
+                self.evaluator.sets.select(circumstance.where, self.plan.at), circumstance.amount, self.run_id
+            )
             if not names:
-                raise Vacuous(f"{one.amount.text()}{one.where.text()} is no server at all")
-            self.judge.coverage.states.add(one.state)
-            dry.state(names, one.state, one.number)
-        elif isinstance(one, s.BackgroundLoad):
-            self._load(one.rate)
-            dry.until(dry.now + LEAD)
-        elif isinstance(one, s.Deploy):
-            self._deploy(one)
-        elif isinstance(one, s.Restart):
+                raise Vacuous(f"{circumstance.amount.text()}{circumstance.where.text()} is no server at all")
+            self.evaluator.coverage.states.add(circumstance.state)
+            dry.state(names, circumstance.state, circumstance.number)
+        elif isinstance(circumstance, s.BackgroundLoad):
+            self._start_background_load(circumstance.rate)
+            dry.until(dry.now + LOAD_LEAD_TIME)
+        elif isinstance(circumstance, s.Deploy):
+            self._schedule_deploy(circumstance)
+        elif isinstance(circumstance, s.Restart):
             dry.restart()
-        elif isinstance(one, s.Pause):
-            dry.until(dry.now + one.time)
-        elif isinstance(one, s.EarlierTraffic):
-            asking = one.traffic
-            products = asking.products or tuple(self.judge.deployment.products)
-            gap = round(SECOND / asking.rate) if asking.rate else 50 * MS
-            for number in range(asking.count or 1):
-                for turn in range(TURNS[asking.turn] + 1):
-                    self._turn(
+        elif isinstance(circumstance, s.Pause):
+            dry.until(dry.now + circumstance.time)
+        elif isinstance(circumstance, s.EarlierTraffic):
+            traffic = circumstance.traffic
+            products = traffic.products or tuple(self.evaluator.deployment.products)
+            interval = round(SECOND / traffic.rate) if traffic.rate else 50 * MS
+            for number in range(traffic.count or 1):
+                for turn in range(EARLIER_TURNS[traffic.turn] + 1):
+                    self._send_turn(
                         number,
                         None,
                         turn,
-                        asking=asking,
+                        traffic=traffic,
                         product=products[number % len(products)],
-                        session=f"{self.mark} before {one.line} {number}",
+                        session=f"{self.run_id} before {circumstance.line} {number}",
                     )
-                    dry.until(dry.now + gap)
-            if not asking.rate:
+                    dry.until(dry.now + interval)
+            if not traffic.rate:
                 dry.settle(60 * SECOND)
 
-    def _load(self, rate: float) -> None:
-        """Other generations, of all products in turn, until the statement's own are done."""
-        dry, products, numbers = self.dry, tuple(self.judge.deployment.products), iter(range(1 << 30))
-        asking = s.Traffic(None, "first", ())
+    def _start_background_load(self, rate: float) -> None:
+        """Sends first turns at `rate` a second, cycling through all products, until the run ends its own."""
+        dry, products, numbers = self.dry, tuple(self.evaluator.deployment.products), iter(range(1 << 30))
+        traffic = s.Traffic(None, "first", ())
 
-        def come() -> None:
-            if self.live:
+        def send_next() -> None:
+            if self.load_running:
                 number = next(numbers)
-                self._turn(
+                self._send_turn(
                     number,
                     None,
                     0,
-                    asking=asking,
+                    traffic=traffic,
                     product=products[number % len(products)],
-                    session=f"{self.mark} load {number}",
+                    session=f"{self.run_id} load {number}",
                 )
-                dry.at(dry.now + round(SECOND / rate), come)
+                dry.at(dry.now + round(SECOND / rate), send_next)
 
-        come()
+        send_next()
 
-    def _deploy(self, one: s.Deploy) -> None:
-        """Batch by batch: draining, gone, back cold."""
-        dry, names = self.dry, part(self.judge.sets.select(one.where, self.plan.at), s.Amount(), self.mark)
-        batches = [names[at : at + one.size] for at in range(0, len(names), one.size)]
-        step = max(1, one.time // len(batches))
-        self.deploy = dry.now, dry.now + one.time
-        self.judge.coverage.states |= {"drains", "gone", "cold"}
+    def _schedule_deploy(self, deploy: s.Deploy) -> None:
+        """Schedules a deploy in batches: each drains, leaves the list, and comes back cold."""
+        dry, names = (
+            self.dry,
+            part(self.evaluator.sets.select(deploy.where, self.plan.at), s.Amount(), self.run_id),
+        )
+        batches = [names[offset : offset + deploy.size] for offset in range(0, len(names), deploy.size)]
+        batch_interval = max(1, deploy.time // len(batches))
+        self.deploy_window = dry.now, dry.now + deploy.time
+        self.evaluator.coverage.states |= {"drains", "gone", "cold"}
         for number, batch in enumerate(batches):
-            begin = dry.now + number * step
-            dry.at(begin, lambda batch=batch: dry.state(batch, "drains"))  # type: ignore[misc]
-            dry.at(begin + step // 2, lambda batch=batch: dry.state(batch, "gone"))  # type: ignore[misc]
-            dry.at(begin + step, lambda batch=batch: dry.state(batch, "cold"))  # type: ignore[misc]
+            start = dry.now + number * batch_interval
+            dry.at(start, lambda batch=batch: dry.state(batch, "drains"))  # type: ignore[misc]
+            dry.at(start + batch_interval // 2, lambda batch=batch: dry.state(batch, "gone"))  # type: ignore[misc]
+            dry.at(start + batch_interval, lambda batch=batch: dry.state(batch, "cold"))  # type: ignore[misc]
 
-    # What became of it.
+    # Results.
 
     def decisions(self) -> list[str]:
-        return [f"{self.variant.text()}: {self._path(story)}" for story in self.stories[:200]]
+        """One line for each of the first 200 generations: the variant, its legs and its end."""
+        return [f"{self.variant.text()}: {self._describe_path(story)}" for story in self.stories[:200]]
 
-    def _path(self, story: Story) -> str:
+    def _describe_path(self, story: Story) -> str:
         legs = [f"{leg.server.name} {leg.outcome or 'out'}" for leg in story.gen.legs]
         return ", ".join([*legs, story.end or "no answer"])
 
-    def _note(self) -> None:
-        touched = self.judge.coverage
-        touched.products.add(self.variant.product)
+    def _record_coverage(self) -> None:
+        coverage = self.evaluator.coverage
+        coverage.products.add(self.variant.product)
         if self.variant.customer is not None:
-            touched.customers.add(self.variant.customer)
+            coverage.customers.add(self.variant.customer)
         for story in self.stories:
-            touched.ends.add(story.end)
+            coverage.ends.add(story.end)
             for leg in story.gen.legs:
-                touched.racks.add(f"{leg.server.zone}/{leg.server.cell}")
-                touched.outcomes.add(leg.outcome or "out")
+                coverage.racks.add(f"{leg.server.zone}/{leg.server.cell}")
+                coverage.outcomes.add(leg.outcome or "out")
 
-    def _names(self, place: s.Place, story: Story, bound: str) -> frozenset[str]:
-        """The servers that a place means for this generation. Raises Vacuous."""
+    def _resolve_place(self, place: s.Place, story: Story, binding: str) -> frozenset[str]:
+        """The servers that a place means for this generation; `binding` is the value of the quantifier.
+
+        Raises Vacuous.
+        """
         if isinstance(place, s.Where):
-            return self.judge.sets.select(place, self.plan.at)
+            return self.evaluator.sets.select(place, self.plan.at)
         servers = self.dry.servers.values()
 
-        def those(able: Callable[[Server], bool]) -> frozenset[str]:
-            return frozenset(one.name for one in servers if able(one))
+        def matching(predicate: Callable[[Server], bool]) -> frozenset[str]:
+            return frozenset(server.name for server in servers if predicate(server))
 
         if place.reference == "owner":
             if story.earlier is None or story.earlier.served is None:
@@ -392,92 +435,102 @@
         if place.reference == "holder":
             if not story.holder_cells:
                 raise Vacuous("no rack held its opening when it came")
-            return those(lambda one: one.cell in story.holder_cells)
+            return matching(lambda server: server.cell in story.holder_cells)
         if place.reference == "same rack":
             read = [leg.server for leg in story.gen.legs if leg.outcome == "read"]
             if not read:
                 raise Vacuous("no reader read it")
-            return those(lambda one: one.cell == read[-1].cell)
+            return matching(lambda server: server.cell == read[-1].cell)
         if place.reference in ("another rack", "another server"):
             if len(story.gen.legs) < 1:
                 raise Vacuous("no leg was sent")
             first = story.gen.legs[0].server
             if place.reference == "another rack":
-                return those(lambda one: one.cell != first.cell)
-            return those(lambda one: one is not first)
-        what = {"that rack": "cell", "that zone": "zone", "that server": "name"}[place.reference]
-        return those(lambda one: str(getattr(one, what)) == bound)
-
-    def _went(self, story: Story, which: s.Part, place: s.Place, bound: str) -> bool | None:
-        """Whether it went there; None if it was not served at all."""
-        names = self._names(place, story, bound)
+                return matching(lambda server: server.cell != first.cell)
+            return matching(lambda server: server is not first)
+        attribute = {"that rack": "cell", "that zone": "zone", "that server": "name"}[place.reference]
+        return matching(lambda server: str(getattr(server, attribute)) == binding)
+
+    def _went_to(self, story: Story, phase: s.Part, place: s.Place, binding: str) -> bool | None:
+        """Whether the generation was served at the place in this phase; None if it was not served at all."""
+        names = self._resolve_place(place, story, binding)
         legs = story.gen.legs
-        if which == "written":
+        if phase == "written":
             return story.served.name in names if story.served is not None else None
-        if which == "read" or (isinstance(place, s.DynamicPlace) and place.reference == "holder"):
+        if phase == "read" or (isinstance(place, s.DynamicPlace) and place.reference == "holder"):
             read = next((leg.server for leg in reversed(legs) if leg.outcome == "read"), story.served)
             return read.name in names if read is not None else None
         if isinstance(place, s.DynamicPlace) and place.reference in ("another rack", "another server"):
             return story.served.name in names if story.served is not None else None
-        roles = {one.role for one in self.dry.servers.values() if one.name in names}
-        ours = [leg for leg in legs if leg.server.role in roles]
-        return all(leg.server.name in names for leg in ours) if ours else None
+        roles = {server.role for server in self.dry.servers.values() if server.name in names}
+        role_legs = [leg for leg in legs if leg.server.role in roles]
+        return all(leg.server.name in names for leg in role_legs) if role_legs else None
 
-    def _bounds(self, expectation: s.Expectation) -> list[str]:
+    def _quantified_values(self, expectation: s.Expectation) -> list[str]:
+        """The racks, zones or servers that "for every" ranges over; one empty name without a quantifier."""
         if expectation.every is None:
             return [""]
         names = (
-            self.judge.sets.select(expectation.of, self.plan.at)
+            self.evaluator.sets.select(expectation.of, self.plan.at)
             if expectation.of
             else frozenset(self.dry.servers)
         )
-        what = {"rack": "cell", "zone": "zone", "server": "name"}[expectation.every]
-        return sorted({str(getattr(one, what)) for one in self.dry.servers.values() if one.name in names})
+        attribute = {"rack": "cell", "zone": "zone", "server": "name"}[expectation.every]
+        return sorted(
+            {str(getattr(server, attribute)) for server in self.dry.servers.values() if server.name in names}
+        )
 
-    def _finding(self, expectation: s.Expectation) -> ClaimResult:
-        for bound in self._bounds(expectation):
+    def _evaluate_expectation(self, expectation: s.Expectation) -> ClaimResult:
+        for binding in self._quantified_values(expectation):
             if isinstance(expectation.claim, s.Share):
-                result = self._share(expectation, expectation.claim, bound, len(self._bounds(expectation)))
+                result = self._share(
+                    expectation, expectation.claim, binding, len(self._quantified_values(expectation))
+                )
                 if not result.holds:
                     return result
                 continue
             for story in self.stories:
-                result = self.evaluate_claim(expectation, story, bound)
+                result = self.evaluate_claim(expectation, story, binding)
                 if not result.holds:
                     return result
         return ClaimResult(expectation, True)
 
-    def evaluate_claim(self, expectation: s.Expectation, story: Story, bound: str) -> ClaimResult:
+    def evaluate_claim(self, expectation: s.Expectation, story: Story, binding: str) -> ClaimResult:
+        """Checks a claim about single generations for one of them. Raises Vacuous."""
         claim, gen = expectation.claim, story.gen
-        which = f" ({expectation.every} {bound})" if bound else ""
-        found = self._path(story)
+        suffix = f" ({expectation.every} {binding})" if binding else ""
+        path = self._describe_path(story)
         if isinstance(claim, s.Goes):
             if claim.never:
-                names = self._names(claim.place, story, bound)
-                hit = [leg.server.name for leg in gen.legs if leg.server.name in names]
-                return ClaimResult(expectation, not hit, f"it went to {', '.join(hit)}{which}; {found}")
+                names = self._resolve_place(claim.place, story, binding)
+                forbidden = [leg.server.name for leg in gen.legs if leg.server.name in names]
+                return ClaimResult(
+                    expectation, not forbidden, f"it went to {', '.join(forbidden)}{suffix}; {path}"
+                )
             return ClaimResult(
-                expectation, self._went(story, claim.part, claim.place, bound) is True, f"{found}{which}"
+                expectation, self._went_to(story, claim.part, claim.place, binding) is True, f"{path}{suffix}"
             )
         if isinstance(claim, s.Ended):
-            return ClaimResult(expectation, (story.end == claim.how) is claim.expected, found)
+            return ClaimResult(expectation, (story.end == claim.how) is claim.expected, path)
         if isinstance(claim, s.Resent):
             roles = [leg.server.role for leg in gen.legs]
-            return ClaimResult(expectation, (len(roles) != len(set(roles))) is claim.expected, found)
+            return ClaimResult(expectation, (len(roles) != len(set(roles))) is claim.expected, path)
         if isinstance(claim, s.LegCount):
-            good = len(gen.legs) == claim.count if claim.exactly else len(gen.legs) <= claim.count
-            return ClaimResult(expectation, good, f"{len(gen.legs)} legs: {found}")
+            holds = len(gen.legs) == claim.count if claim.exactly else len(gen.legs) <= claim.count
+            return ClaimResult(expectation, holds, f"{len(gen.legs)} legs: {path}")
         if isinstance(claim, s.Answered):
             if claim.within is None:
                 if story.end not in ("throttled", "terminated"):
                     raise Vacuous(f"it was {story.end or 'never answered'}, not given up")
-                late = (story.answered or 0) - story.last_back
-                return ClaimResult(expectation, late <= 0, f"{late / 10:.1f} ms after its last leg was back")
-            took = None if story.answered is None else story.answered - gen.arrived
+                delay = (story.answered or 0) - story.last_back
+                return ClaimResult(
+                    expectation, delay <= 0, f"{delay / 10:.1f} ms after its last leg was back"
+                )
+            latency = None if story.answered is None else story.answered - gen.arrived
             return ClaimResult(
                 expectation,
-                took is not None and took <= claim.within,
-                f"{'never' if took is None else f'after {took / 10:.0f} ms'}; {found}",
+                latency is not None and latency <= claim.within,
+                f"{'never' if latency is None else f'after {latency / 10:.0f} ms'}; {path}",
             )
         if isinstance(claim, s.Released):
             if not story.held_at_all:
@@ -493,7 +546,8 @@
 
     # Shares.
 
-    def _counted(self, claim: s.Share, bound: str) -> tuple[int, int]:
+    def _count_hits(self, claim: s.Share, binding: str) -> tuple[int, int]:
+        """How many generations meet the claim, and of how many; those that wait unsent don't count."""
         hits = total = 0
         for story in self.stories:
             if not story.gen.over and not story.gen.legs:
@@ -502,109 +556,125 @@
             hits += (
                 story.end == claim.target
                 if isinstance(claim.target, str)
-                else bool(self._went(story, claim.part, claim.target, bound))
+                else bool(self._went_to(story, claim.part, claim.target, binding))
             )
         return hits, total
 
-    def _share(self, expectation: s.Expectation, claim: s.Share, bound: str, bounds: int) -> ClaimResult:
-        hits, total = self._counted(claim, bound)
-        looks = max(1, (self.traffic.count or 1) // LOOKS)
-        low, high = wilson_interval(hits, total, 1 - (1 - claim.confidence / 100) / (bounds * looks))
-        where = f" for {expectation.every} {bound}" if bound else ""
-        seen = f"{hits} of {total}{where}, so {low:.1%} to {high:.1%} with {claim.confidence:g}% confidence"
+    def _share(
+        self, expectation: s.Expectation, claim: s.Share, binding: str, binding_count: int
+    ) -> ClaimResult:
+        hits, total = self._count_hits(claim, binding)
+        # Bonferroni correction: one test for each value of the quantifier and each early check.
+        checks = max(1, (self.traffic.count or 1) // CHECK_INTERVAL)
+        low, high = wilson_interval(hits, total, 1 - (1 - claim.confidence / 100) / (binding_count * checks))
+        where = f" for {expectation.every} {binding}" if binding else ""
+        summary = (
+            f"{hits} of {total}{where}, so {low:.1%} to {high:.1%} with {claim.confidence:g}% confidence"
+        )
         if claim.low / 100 <= low and high <= claim.high / 100:
-            return ClaimResult(expectation, True, seen)
+            return ClaimResult(expectation, True, summary)
         if high < claim.low / 100 or low > claim.high / 100:
-            return ClaimResult(expectation, False, seen)
-        return ClaimResult(expectation, False, f"{seen}: too close to tell, say more turns")
+            return ClaimResult(expectation, False, summary)
+        return ClaimResult(expectation, False, f"{summary}: too close to tell, say more turns")
+
+    def _shares_decided(self, shares: list[s.Expectation]) -> bool:
+        """Whether more generations would change no result.
 
-    def _decided(self, shares: list[s.Expectation]) -> bool:
-        """Whether more generations would change nothing. Those under way count as what they will be, so they are let
-        end first; time that they take goes by for all."""
-        self.dry.until(self.dry.now + LEAD)
-        return all("too close" not in result.reason for result in map(self._finding, shares))
+        Time is advanced first, so that generations under way end and count with their final outcome.
+        """
+        self.dry.until(self.dry.now + LOAD_LEAD_TIME)
+        return all("too close" not in result.reason for result in map(self._evaluate_expectation, shares))
 
 
 def wilson_interval(hits: int, total: int, confidence: float) -> tuple[float, float]:
-    """Wilson's wilson_interval for a share, as parts of 1."""
+    """The Wilson score interval for a share, as fractions of 1."""
     if not total:
         return 0.0, 1.0
     z = NormalDist().inv_cdf(0.5 + confidence / 2)
     p, weight = hits / total, z * z / total
-    middle, half = (
+    center, half_width = (
         (p + weight / 2) / (1 + weight),
         z / (1 + weight) * (p * (1 - p) / total + weight / total / 4) ** 0.5,
     )
-    return max(0.0, middle - half) if hits else 0.0, min(1.0, middle + half) if hits < total else 1.0
+    return max(0.0, center - half_width) if hits else 0.0, min(
+        1.0, center + half_width
+    ) if hits < total else 1.0
 
 
-# What a failure hangs on.
+# Causes of a failure.
 
 
 @dataclass(slots=True)
 class FailureCause:
-    """Circumstances that the failure required, and single changes that would turn it."""
+    """The circumstances that a failure requires, and single changes that would make the statement hold."""
 
     required: list[str]
     fixes: list[str]
 
 
-def minimize_failure(judge: Evaluator, plan: Plan, most: int = 60) -> FailureCause:
-    """Leaves out circumstances for as long as it still fails, then looks for the smallest change that makes it hold."""
-    tried = 0
+def minimize_failure(evaluator: Evaluator, plan: Plan, max_attempts: int = 60) -> FailureCause:
+    """Drops circumstances while the statement still fails, then finds single changes that make it hold.
+
+    At most `max_attempts` changed plans are evaluated.
+    """
+    attempts = 0
 
     def holds(changed: Plan) -> bool | None:
-        """None: can't apply, or its situation does not come about."""
-        nonlocal tried
-        tried += 1
+        """None: the changed statement can't apply, or its situation does not occur."""
+        nonlocal attempts
+        attempts += 1
         try:
-            verdict = judge.verdict(changed)
+            verdict = evaluator.verdict(changed)
         except BadStatement:
             return None
         return None if verdict.vacuous else verdict.passed
 
-    at = 0
-    while at < len(plan.circumstances) and tried < most:
-        fewer = replace(plan, circumstances=plan.circumstances[:at] + plan.circumstances[at + 1 :])
-        if holds(fewer) is False:
-            plan = fewer
+    index = 0
+    while index < len(plan.circumstances) and attempts < max_attempts:
+        reduced = replace(plan, circumstances=plan.circumstances[:index] + plan.circumstances[index + 1 :])
+        if holds(reduced) is False:
+            plan = reduced
         else:
-            at += 1
-    turns = [text for text, changed in changes(judge, plan) if tried < most and holds(changed)]
-    return FailureCause([one.text() for one in plan.circumstances], turns)
-
-
-def changes(judge: Evaluator, plan: Plan) -> Iterator[tuple[str, Plan]]:
-    """Plans one step away, smallest steps first, each with how to say it."""
-    for at, one in enumerate(plan.circumstances):
-        rest = plan.circumstances[:at], plan.circumstances[at + 1 :]
-        yield f'without "{one.text()}"', replace(plan, circumstances=rest[0] + rest[1])
-        if isinstance(one, s.ServerCondition) and one.amount.how != "some":
-            some = replace(one, amount=s.Amount("some", 1))
-            yield f'with "{some.text()}"', replace(plan, circumstances=(*rest[0], some, *rest[1]))
-    asking = plan.statement.traffic
-    if asking is None:
+            index += 1
+    fixes = [
+        text
+        for text, changed in single_changes(evaluator, plan)
+        if attempts < max_attempts and holds(changed)
+    ]
+    return FailureCause([circumstance.text() for circumstance in plan.circumstances], fixes)
+
+
+def single_changes(evaluator: Evaluator, plan: Plan) -> Iterator[tuple[str, Plan]]:
+    """Plans that differ by one change, smallest changes first, each with a description."""
+    for index, circumstance in enumerate(plan.circumstances):
+        others = plan.circumstances[:index], plan.circumstances[index + 1 :]
+        yield f'without "{circumstance.text()}"', replace(plan, circumstances=others[0] + others[1])
+        if isinstance(circumstance, s.ServerCondition) and circumstance.amount.how != "some":
+            single = replace(circumstance, amount=s.Amount("some", 1))
+            yield f'with "{single.text()}"', replace(plan, circumstances=(*others[0], single, *others[1]))
+    traffic = plan.statement.traffic
+    if traffic is None:
         return
-    asked: list[tuple[str, s.Traffic]] = [
-        (f"for {name}", replace(asking, products=(name,)))
-        for name in judge.deployment.products
-        if asking.products != (name,)
+    variations: list[tuple[str, s.Traffic]] = [
+        (f"for {name}", replace(traffic, products=(name,)))
+        for name in evaluator.deployment.products
+        if traffic.products != (name,)
     ]
-    if asking.opening is not None:
-        asked.append(("without its opening", replace(asking, opening=None)))
-    if asking.turn == "first":
-        asked.append(("for a later turn", replace(asking, turn="later")))
+    if traffic.opening is not None:
+        variations.append(("without its opening", replace(traffic, opening=None)))
+    if traffic.turn == "first":
+        variations.append(("for a later turn", replace(traffic, turn="later")))
     else:
-        asked.append(("for a first turn", replace(asking, turn="first")))
-    asked += [
+        variations.append(("for a first turn", replace(traffic, turn="first")))
+    variations += [
         (
-            f"with a prompt of {asking.prompt_tok // 4} tokens",
-            replace(asking, prompt_tok=max(1, asking.prompt_tok // 4)),
+            f"with a prompt of {traffic.prompt_tok // 4} tokens",
+            replace(traffic, prompt_tok=max(1, traffic.prompt_tok // 4)),
         ),
         (
-            f"with a prompt of {asking.prompt_tok * 4} tokens",
-            replace(asking, prompt_tok=asking.prompt_tok * 4),
+            f"with a prompt of {traffic.prompt_tok * 4} tokens",
+            replace(traffic, prompt_tok=traffic.prompt_tok * 4),
         ),
     ]
-    for text, changed in asked:
+    for text, changed in variations:
         yield text, replace(plan, statement=replace(plan.statement, traffic=changed))
