--- a/stackpitch/expect/evaluate.py
+++ b/stackpitch/expect/evaluate.py
@@ -157,7 +157,7 @@
                 verdict.vacuous, verdict.passed = f"{error} ({variant.text()})", False
                 return verdict
             verdict.decisions += run.decisions()
-            verdict.failed += [(variant, result) for result in results if not result.holds]
+            verdict.failed += [(variant, failure) for failure in results if not failure.holds]
             if verdict.failed and first_only:
                 break
         verdict.passed = not verdict.failed
