--- a/stackpitch/expect/book.py
+++ b/stackpitch/expect/book.py
@@ -159,15 +159,15 @@
             (other.expected and one.how != other.how) or (not other.expected and one.how == other.how)
         )
     if isinstance(one, s.Ended) and isinstance(other, s.Goes):
-        return one.expected and one.how == "throttled" and not other.never and other.part == "written"
+        return one.expected and one.how == "throttled" and not other.never and other.phase == "written"
     if isinstance(one, s.Goes) and isinstance(other, s.Goes) and not one.never:
         if isinstance(one.place, s.Where) and isinstance(other.place, s.Where):
             ours, theirs = sets.select(one.place, ""), sets.select(other.place, "")
             if other.never:
                 return ours <= theirs
             roles = {server.name: server.role for server in sets.of.fleet}
-            alike = one.part == other.part and (
-                one.part != "any" or {roles[name] for name in ours} & {roles[name] for name in theirs}
+            alike = one.phase == other.phase and (
+                one.phase != "any" or {roles[name] for name in ours} & {roles[name] for name in theirs}
             )
             return bool(alike) and not ours & theirs
         return other.never and one.place == other.place
@@ -179,7 +179,7 @@
         return one.expected != other.expected
     if isinstance(one, s.Share) and isinstance(other, s.Share):
         return (
-            one.part == other.part
+            one.phase == other.phase
             and one.target == other.target
             and (one.high < other.low or other.high < one.low)
         )
--- a/stackpitch/expect/evaluate.py
+++ b/stackpitch/expect/evaluate.py
@@ -212,7 +212,7 @@
         )
         self.stories: list[Story] = []
         self.leg_events = [
-            (circumstance.part, circumstance.event)
+            (circumstance.leg, circumstance.event)
             for circumstance in plan.circumstances
             if isinstance(circumstance, s.LegEvent)
         ]
@@ -451,7 +451,7 @@
         attribute = {"that rack": "cell", "that zone": "zone", "that server": "name"}[place.reference]
         return matching(lambda server: str(getattr(server, attribute)) == binding)
 
-    def _went_to(self, story: Story, phase: s.Part, place: s.Place, binding: str) -> bool | None:
+    def _went_to(self, story: Story, phase: s.Phase, place: s.Place, binding: str) -> bool | None:
         """Whether the generation was served at the place in this phase; None if it was not served at all."""
         names = self._resolve_place(place, story, binding)
         legs = story.gen.legs
@@ -508,7 +508,9 @@
                     expectation, not forbidden, f"it went to {', '.join(forbidden)}{suffix}; {path}"
                 )
             return ClaimResult(
-                expectation, self._went_to(story, claim.part, claim.place, binding) is True, f"{path}{suffix}"
+                expectation,
+                self._went_to(story, claim.phase, claim.place, binding) is True,
+                f"{path}{suffix}",
             )
         if isinstance(claim, s.Ended):
             return ClaimResult(expectation, (story.end == claim.how) is claim.expected, path)
@@ -556,7 +558,7 @@
             hits += (
                 story.end == claim.target
                 if isinstance(claim.target, str)
-                else bool(self._went_to(story, claim.part, claim.target, binding))
+                else bool(self._went_to(story, claim.phase, claim.target, binding))
             )
         return hits, total
 
--- a/stackpitch/expect/parse.py
+++ b/stackpitch/expect/parse.py
@@ -1,7 +1,7 @@
 """Parses files of statements. Pure except for `read_statement_file`, which reads one file.
 
-Hostile input is rejected before it costs time or memory: by size, encoding and number of items. The grammar has
-no nesting, so an input can't force deep recursion.
+Hostile input is rejected before it costs time or memory: by size, encoding and number of items. The grammar
+has no nesting, so an input can't force deep recursion.
 """
 
 from collections.abc import Callable
@@ -333,16 +333,16 @@
     def released(self, parts: list[Any]) -> s.Released:
         return s.Released(parts[0])
 
-    def go(self, parts: list[Any]) -> tuple[s.Part, Any]:
+    def go(self, parts: list[Any]) -> tuple[s.Phase, Any]:
         return "any", parts[0]
 
-    def read_by(self, parts: list[Any]) -> tuple[s.Part, Any]:
+    def read_by(self, parts: list[Any]) -> tuple[s.Phase, Any]:
         return "read", parts[-1]
 
-    def written_by(self, parts: list[Any]) -> tuple[s.Part, Any]:
+    def written_by(self, parts: list[Any]) -> tuple[s.Phase, Any]:
         return "written", parts[-1]
 
-    def ending(self, parts: list[Any]) -> tuple[s.Part, Any]:
+    def ending(self, parts: list[Any]) -> tuple[s.Phase, Any]:
         return "any", str(parts[-1])
 
     def confidence(self, parts: list[Any]) -> float:
@@ -498,7 +498,7 @@
         if key in first_lines:
             kind = type(item).__name__.lower()
             raise BadStatement(
-                f'{file}:{item.line}:1: {kind} "{item.name}" is already defined in line {first_lines[key]}'
+                f'{file}:{item.line}:1: {kind} "{item.name}" is already defined (line {first_lines[key]})'
             )
         first_lines[key] = item.line
     return s.StatementFile(file, tuple(items), find_comments(text))
--- a/stackpitch/expect/syntax.py
+++ b/stackpitch/expect/syntax.py
@@ -1,6 +1,6 @@
-"""What a file of statements says, as plain values. `text()` of each writes it back as the formatter does.
+"""The syntax tree of a file of statements. `text()` of a node gives its canonical form, for the formatter.
 
-Times are whole tenths of a millisecond. `line` is where a thing stood, for messages; it takes no part in equality.
+Times are whole tenths of a millisecond. `line` is the line in the file, for messages; equality ignores it.
 """
 
 from collections.abc import Iterator
@@ -8,38 +8,47 @@
 from typing import Literal
 
 Ending = Literal["streamed", "throttled", "terminated"]
-Part = Literal["any", "read", "written"]
+# The phase of serving that a claim is about: read is prefill, written is decode.
+Phase = Literal["any", "read", "written"]
 DAYS = ("monday", "tuesday", "wednesday", "thursday", "friday", "saturday", "sunday")
 UNITS = {"ms": 10, "s": 10_000, "min": 600_000}
 
 
 def duration_text(time: int) -> str:
+    """A duration in whole seconds, or else in milliseconds."""
     if time and time % 10_000 == 0:
         return f"{time // 10_000} s"
     return f"{number_text(time / 10)} ms"
 
 
 def number_text(number: float) -> str:
+    """A number, without a fraction where it is whole."""
     return str(int(number)) if number == int(number) else repr(number)
 
 
 def name_text(name: str) -> str:
-    plain = name.replace("-", "").replace(".", "").replace("_", "")
+    """A name, in quotes where the lexer would not read it as a bare name."""
+    stripped = name.replace("-", "").replace(".", "").replace("_", "")
     bare = (
         name[:1].isalnum()
-        and plain.isalnum()
+        and stripped.isalnum()
         and name.isascii()
-        and not any(name == word or name.startswith(word + mark) for word in ("every",) for mark in "-.")
+        and not any(
+            name == word or name.startswith(word + separator) for word in ("every",) for separator in "-."
+        )
     )
     return name if bare else f'"{name}"'
 
 
-def names_text(names: tuple[str, ...], every: str) -> str:
-    return " or ".join(name_text(name) for name in names) if names else f"every {every}"
+def names_text(names: tuple[str, ...], noun: str) -> str:
+    """Alternative names; no names means every product or customer, as `noun` says."""
+    return " or ".join(name_text(name) for name in names) if names else f"every {noun}"
 
 
 @dataclass(frozen=True, slots=True)
 class Filter:
+    """Restricts a set of servers to one rack (field `cell`), zone or kind."""
+
     field: Literal["cell", "zone", "kind"]
     value: str
 
@@ -50,6 +59,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Term:
+    """One part of a set of servers: a role, a single server or a definition, narrowed by all `filters`."""
+
     selector: Literal["servers", "readers", "writers", "mixed servers", "server", "defined"]
     name: str = ""  # of the server or the definition
     filters: tuple[Filter, ...] = ()
@@ -58,24 +69,26 @@
         head = {"server": f"server {name_text(self.name)}", "defined": f'"{self.name}"'}.get(
             self.selector, self.selector
         )
-        return " ".join([head, *(one.text() for one in self.filters)])
+        return " ".join([head, *(filter_.text() for filter_ in self.filters)])
 
 
 @dataclass(frozen=True, slots=True)
 class Where:
-    """A set of servers: any of `terms`, none of `excluded`."""
+    """A set of servers: those in any of `terms` and in none of `excluded`."""
 
     terms: tuple[Term, ...]
     excluded: tuple[Term, ...] = ()
 
     def text(self) -> str:
-        text = " or ".join(one.text() for one in self.terms)
-        return f"{text} except {' or '.join(one.text() for one in self.excluded)}" if self.excluded else text
+        text = " or ".join(term.text() for term in self.terms)
+        return (
+            f"{text} except {' or '.join(term.text() for term in self.excluded)}" if self.excluded else text
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class DynamicPlace:
-    """A place that depends on what happened before, or that a quantifier binds."""
+    """A place that depends on the run so far, or on the value of the quantifier (`that ...`)."""
 
     reference: Literal[
         "owner",
@@ -101,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Amount:
-    """How many of a set: a part, so many, all but so many."""
+    """How many servers of a set: all, a percentage, a number, all but a number, or half."""
 
     how: Literal["all", "percent", "some", "all but", "half"] = "all"
     number: float = 0
@@ -119,14 +132,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Located:
+    """A node with its line in the file."""
+
     line: int = field(default=0, compare=False, kw_only=True)
 
 
-# Circumstances, in the order in which they come about.
+# Circumstances, applied in their order in the statement.
 
 
 @dataclass(frozen=True, slots=True)
 class Given(Located):
+    """Includes the circumstances of a named situation."""
+
     name: str
 
     def text(self) -> str:
@@ -135,16 +152,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerCondition(Located):
+    """Servers are in a state, as `state` names it in the grammar, while the statement is evaluated."""
+
     amount: Amount
     where: Where
     state: str
     number: float = 0  # times for slow, percent for report, a duration for cold
 
     def text(self) -> str:
-        many = (
+        plural = (
             self.amount.how != "all" or len(self.where.terms) > 1 or self.where.terms[0].selector != "server"
         )
-        ending, be = ("", "are") if many else ("s", "is")
+        ending, be = ("", "are") if plural else ("s", "is")
         states = {
             "drains": f"drain{ending}",
             "gone": f"{be} gone",
@@ -163,7 +182,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimeOfDay(Located):
-    """The time of day, and of the week, at which the statement is played."""
+    """The time of day and day of the week at which the statement is evaluated."""
 
     minute: int
     day: int = 0  # 0 is a Monday
@@ -176,6 +195,8 @@
 
 @dataclass(frozen=True, slots=True)
 class BackgroundLoad(Located):
+    """Other generations arrive at `rate` a second."""
+
     rate: float
 
     def text(self) -> str:
@@ -184,6 +205,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Deploy(Located):
+    """A deploy of a set of servers, `size` at a time, that takes `time` in all."""
+
     where: Where
     size: int
     time: int
@@ -196,12 +219,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Restart(Located):
+    """The gateway restarts."""
+
     def text(self) -> str:
         return "after a restart"
 
 
 @dataclass(frozen=True, slots=True)
 class Pause(Located):
+    """Time passes."""
+
     time: int
 
     def text(self) -> str:
@@ -210,15 +237,19 @@
 
 @dataclass(frozen=True, slots=True)
 class LegEvent(Located):
-    part: Literal["reader", "writer", "first leg"]
+    """A leg of the generation has a fault: `event` in the words of the grammar."""
+
+    leg: Literal["reader", "writer", "first leg"]
     event: str
 
     def text(self) -> str:
-        return f"after its {self.part} {self.event}"
+        return f"after its {self.leg} {self.event}"
 
 
 @dataclass(frozen=True, slots=True)
 class ClientLeaves(Located):
+    """The client of the generation disconnects."""
+
     when: Literal["leaves", "leaves at once", "leaves mid-stream"]
 
     def text(self) -> str:
@@ -227,7 +258,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Traffic(Located):
-    """Generations: `products` and `customers` empty mean every one."""
+    """Generations to send; empty `products` or `customers` means each one in the configuration.
+
+    `rate` is in generations a second; `opening` names the shared prefix.
+    """
 
     count: int | None  # None: one
     turn: Literal["first", "second", "third", "later"]
@@ -254,12 +288,12 @@
                 f'opening "{self.opening}"'
                 + (f" of {self.opening_tok} tokens" if self.opening_tok != 500 else "")
             )
-        for word, number, usual in (
+        for word, number, default in (
             ("prompt of", self.prompt_tok, 1000),
             ("answer of", self.answer_tok, 100),
             ("adding", self.adding_tok, 200),
         ):
-            if number != usual:
+            if number != default:
                 parts.append(f"{word} {number} tokens")
         if self.rate is not None:
             parts.append(f"at {number_text(self.rate)} a second")
@@ -268,12 +302,15 @@
         return ", ".join(parts)
 
     def when_text(self) -> str:
+        """The text as the "when" line of a statement."""
         first, comma, rest = self.text().partition(", ")
         return f"when {first} {'comes' if self.count in (None, 1) else 'come'}{comma}{rest}"
 
 
 @dataclass(frozen=True, slots=True)
 class EarlierTraffic(Located):
+    """Generations sent before those that the statement is about."""
+
     traffic: Traffic
 
     def text(self) -> str:
@@ -298,20 +335,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Goes:
-    part: Part
+    """The generation is served at a place in this phase; with `never`, none of its legs goes there."""
+
+    phase: Phase
     place: Place
     never: bool = False
 
     def text(self) -> str:
         if self.never:
             return f"it never goes to {self.place.text()}"
-        return {"any": "it goes to", "read": "it is read by", "written": "it is written by"}[self.part] + (
+        return {"any": "it goes to", "read": "it is read by", "written": "it is written by"}[self.phase] + (
             f" {self.place.text()}"
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Ended:
+    """The generation ends in this way, or does not (`expected` False)."""
+
     how: Ending
     expected: bool
 
@@ -321,6 +362,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Resent:
+    """The generation has several legs at servers of one role, or does not (`expected` False)."""
+
     expected: bool
 
     def text(self) -> str:
@@ -329,7 +372,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """`within` None: at once, as soon as its last leg is back."""
+    """The generation is answered within a time; None: at once, when its last leg has ended."""
 
     within: int | None
 
@@ -343,6 +386,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LegCount:
+    """How many legs are sent, exactly or at most."""
+
     count: int
     exactly: bool
 
@@ -353,6 +398,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Released:
+    """Servers hold KV state or a reservation with no leg outstanding for at most `within`."""
+
     within: int
 
     def text(self) -> str:
@@ -361,11 +408,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """Of many generations, in percent. `target` is a place that they go to, or how they end."""
+    """The share of many generations, in percent, that go to a place or end in a way (`target`).
+
+    `confidence` is that of the interval for the share, in percent.
+    """
 
     low: float
     high: float
-    part: Part
+    phase: Phase
     target: Place | Ending
     confidence: float = 99.0
 
@@ -382,15 +432,17 @@
             verb = f"are {self.target}"
         else:
             verb = {"any": "go to", "read": "are read by", "written": "are written by"}[
-                self.part
+                self.phase
             ] + f" {self.target.text()}"
-        sure = f" with {number_text(self.confidence)}% confidence" if self.confidence != 99 else ""
-        return f"{share} of them {verb}{sure}"
+        confidence = f" with {number_text(self.confidence)}% confidence" if self.confidence != 99 else ""
+        return f"{share} of them {verb}{confidence}"
 
 
 @dataclass(frozen=True, slots=True)
 class RuleHolds:
-    name: str | None  # None: all five
+    """No rule of the dry run is broken, or not this one."""
+
+    name: str | None  # None: all rules
 
     def text(self) -> str:
         return "no rule is broken" if self.name is None else f"rule {self.name} holds"
@@ -398,6 +450,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingClaim:
+    """A setting has this value; `path` is its dotted path."""
+
     path: str
     value: float | str | bool
 
@@ -415,7 +469,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerCount:
-    """How many servers the fleet has of a set."""
+    """How many servers a set has in the server list, exactly or at least."""
 
     count: int
     where: Where
@@ -427,16 +481,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EachServer:
-    """What the list says of each server of a set: that it is ready, or what it weighs."""
+    """Each server of a set has this weight in the server list; None: is ready."""
 
     where: Where
     weight: float | None
 
     def text(self) -> str:
-        many = len(self.where.terms) > 1 or self.where.terms[0].selector != "server"
+        plural = len(self.where.terms) > 1 or self.where.terms[0].selector != "server"
         if self.weight is None:
-            return f"all {self.where.text()} {'are' if many else 'is'} ready"
-        return f"all {self.where.text()} weigh{'' if many else 's'} {number_text(self.weight)}"
+            return f"all {self.where.text()} {'are' if plural else 'is'} ready"
+        return f"all {self.where.text()} weigh{'' if plural else 's'} {number_text(self.weight)}"
 
 
 Claim = (
@@ -456,17 +510,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Expectation(Located):
+    """A claim that must hold, for every rack, zone or server (of the set `of`) if `every` is set."""
+
     claim: Claim
     every: Literal["rack", "zone", "server"] | None = None
     of: Where | None = None
 
     def text(self) -> str:
-        each = f"for every {self.every}{f' of {self.of.text()}' if self.of else ''}, " if self.every else ""
-        return each + self.claim.text()
+        quantifier = (
+            f"for every {self.every}{f' of {self.of.text()}' if self.of else ''}, " if self.every else ""
+        )
+        return quantifier + self.claim.text()
 
 
 @dataclass(frozen=True, slots=True)
 class Definition(Located):
+    """A name for a set of servers."""
+
     name: str
     where: Where
 
@@ -476,40 +536,48 @@
 
 @dataclass(frozen=True, slots=True)
 class Situation(Located):
+    """A name for circumstances that statements can include."""
+
     name: str
     circumstances: tuple[Circumstance, ...]
 
     def lines(self) -> Iterator[tuple[int, str]]:
+        """Each line of the canonical text, with its line in the file."""
         yield self.line, f'situation "{self.name}":'
-        for one in self.circumstances:
-            yield one.line, f"  {one.text()}"
+        for circumstance in self.circumstances:
+            yield circumstance.line, f"  {circumstance.text()}"
 
 
 @dataclass(frozen=True, slots=True)
 class Statement(Located):
+    """A statement: circumstances, traffic and what is expected of it. A guard is also checked before a
+    new server list is accepted.
+    """
+
     name: str
     guard: bool
     circumstances: tuple[Circumstance, ...]
-    traffic: Traffic | None  # None: about settings alone
+    traffic: Traffic | None  # None: about settings and the server list only
     expectations: tuple[Expectation, ...]
 
     def lines(self) -> Iterator[tuple[int, str]]:
+        """Each line of the canonical text, with its line in the file."""
         yield self.line, f'statement "{self.name}"{" (guard)" if self.guard else ""}:'
-        for one in self.circumstances:
-            yield one.line, f"  {one.text()}"
+        for circumstance in self.circumstances:
+            yield circumstance.line, f"  {circumstance.text()}"
         if self.traffic is not None:
             yield self.traffic.line, f"  {self.traffic.when_text()}"
-        for number, then in enumerate(self.expectations):
-            yield then.line, f"  {'and' if number else 'then'} {then.text()}"
+        for number, expectation in enumerate(self.expectations):
+            yield expectation.line, f"  {'and' if number else 'then'} {expectation.text()}"
 
 
 @dataclass(frozen=True, slots=True)
 class StatementFile:
-    """One file."""
+    """One file of statements."""
 
     file: str = field(compare=False)
     items: tuple[Definition | Situation | Statement, ...] = ()
     comments: tuple[tuple[int, str], ...] = field(default=(), compare=False)  # line and text
 
     def statements(self) -> list[Statement]:
-        return [one for one in self.items if isinstance(one, Statement)]
+        return [item for item in self.items if isinstance(item, Statement)]
