--- a/stackpitch/expect/report.py
+++ b/stackpitch/expect/report.py
@@ -1,150 +1,167 @@
-"""Verdicts as JSON, as JUnit XML, and a failure's story as text. Pure."""
+"""Formats verdicts as JSON and as JUnit XML, and explains failures as text. Pure."""
 
 from typing import Any
 from xml.etree import ElementTree
 
 from stackpitch.expect.evaluate import Evaluator, StatementRun, Vacuous, Verdict, minimize_failure
 
-BOARD = 10  # lines of candidates shown of each role
+MAX_SERVER_LINES = 10  # for each role, in the server table of an explanation
 
 
 def as_json(verdicts: list[Verdict], contradictions: list[tuple[str, str, str]]) -> dict[str, Any]:
+    """The report of a run as values for JSON; contradictions are two names and the claims that clash."""
     return {
         "statements": [
             {
-                "name": one.statement.name,
-                "file": one.file,
-                "line": one.statement.line,
-                "guard": one.statement.guard,
-                "verdict": one.label(),
-                "why": one.reason(),
-                "plays": one.plays,
+                "name": verdict.statement.name,
+                "file": verdict.file,
+                "line": verdict.statement.line,
+                "guard": verdict.statement.guard,
+                "verdict": verdict.label(),
+                "why": verdict.reason(),
+                "plays": verdict.plays,
             }
-            for one in verdicts
+            for verdict in verdicts
+        ],
+        "held": sum(verdict.passed for verdict in verdicts),
+        "failed": sum(not verdict.passed for verdict in verdicts),
+        "contradictions": [
+            {"one": first, "other": second, "text": text} for first, second, text in contradictions
         ],
-        "held": sum(one.passed for one in verdicts),
-        "failed": sum(not one.passed for one in verdicts),
-        "contradictions": [{"one": one, "other": other, "text": text} for one, other, text in contradictions],
     }
 
 
 def as_junit(verdicts: list[Verdict]) -> str:
-    """One test suite a file; what can't apply is an error, all else that does not hold a failure."""
+    """JUnit XML with a test suite for each file.
+
+    A statement that can't apply is an error, any other that does not hold is a failure.
+    """
     root = ElementTree.Element(
         "testsuites",
         tests=str(len(verdicts)),
-        failures=str(sum(not one.passed and not one.error for one in verdicts)),
-        errors=str(sum(bool(one.error) for one in verdicts)),
+        failures=str(sum(not verdict.passed and not verdict.error for verdict in verdicts)),
+        errors=str(sum(bool(verdict.error) for verdict in verdicts)),
     )
-    for file in dict.fromkeys(one.file for one in verdicts):
-        ours = [one for one in verdicts if one.file == file]
-        suite = ElementTree.SubElement(root, "testsuite", name=file, tests=str(len(ours)))
-        for one in ours:
+    for file in dict.fromkeys(verdict.file for verdict in verdicts):
+        file_verdicts = [verdict for verdict in verdicts if verdict.file == file]
+        suite = ElementTree.SubElement(root, "testsuite", name=file, tests=str(len(file_verdicts)))
+        for verdict in file_verdicts:
             case = ElementTree.SubElement(
                 suite,
                 "testcase",
-                name=one.statement.name,
+                name=verdict.statement.name,
                 classname=file,
                 file=file,
-                line=str(one.statement.line),
+                line=str(verdict.statement.line),
             )
-            if not one.passed:
-                inner = ElementTree.SubElement(
-                    case, "error" if one.error else "failure", message=one.reason(), type=one.label()
+            if not verdict.passed:
+                problem = ElementTree.SubElement(
+                    case,
+                    "error" if verdict.error else "failure",
+                    message=verdict.reason(),
+                    type=verdict.label(),
                 )
-                inner.text = "\n".join(text for _, text in one.statement.lines())
+                problem.text = "\n".join(text for _, text in verdict.statement.lines())
     ElementTree.indent(root)
     return ElementTree.tostring(root, encoding="unicode", xml_declaration=True) + "\n"
 
 
-def explain_run(judge: Evaluator, name: str, verdict: Verdict) -> list[str]:
-    """The play that failed, or else the first one, step by step, with the figures before each decision."""
-    plan = judge.book.plan(name)
-    asking = plan.statement.traffic
-    if asking is None or verdict.error:
+def explain_run(evaluator: Evaluator, name: str, verdict: Verdict) -> list[str]:
+    """Replays the run that failed, or else the first, with the figures that the module had at each decision."""
+    plan = evaluator.book.plan(name)
+    traffic = plan.statement.traffic
+    if traffic is None or verdict.error:
         return []
-    variant = next((one for one, _ in verdict.failed if one is not None), next(iter(judge.variants(asking))))
-    play = StatementRun(judge, plan, variant, explain=True)
+    variant = next(
+        (failed for failed, _ in verdict.failed if failed is not None),
+        next(iter(evaluator.variants(traffic))),
+    )
+    run = StatementRun(evaluator, plan, variant, explain=True)
     lines = [f"played for {variant.text()}:"]
     try:
-        play.run()
-    except Vacuous as wrong:
-        lines.append(f"  (it did not come about: {wrong})")
-    shown = [one for one in play.stories if not _well(play, one, verdict)] or play.stories
-    for told in shown[:1]:
-        begin = told.gen.arrived
-        gen = told.gen
+        run.run()
+    except Vacuous as error:
+        lines.append(f"  (the situation did not occur: {error})")
+    candidates = [
+        candidate for candidate in run.stories if not _meets_failed_claims(run, candidate, verdict)
+    ] or run.stories
+    for story in candidates[:1]:
+        begin = story.gen.arrived
+        gen = story.gen
         lines.append(
             f"  {gen.product.name} ({gen.product.effect}), prompt {gen.prompt_tok} tokens"
             + (f', opening "{gen.shared}" of {gen.shared_tok}' if gen.shared else "")
             + f", time limit {gen.product.time_limit / 10:g} ms"
         )
-        for step in told.steps:
+        for step in story.steps:
             lines.append(f"  {(step.at - begin) / 10:9.1f} ms  {step.text}")
-            lines += _board(step.board)
+            lines += _server_lines(step.board)
             if step.queue:
                 lines.append(f"                 queue: {step.queue:.0f} ms estimated")
-    if len(play.stories) > 1:
-        lines.append(f"  ({len(play.stories)} generations came; this is one of them)")
+    if len(run.stories) > 1:
+        lines.append(f"  ({len(run.stories)} generations came; this is one of them)")
     lines += (
         [
-            f"  {(at - play.stories[0].gen.arrived) / 10:9.1f} ms  the module logs: {text}"
-            for at, text in play.dry.modes[-5:]
+            f"  {(at - run.stories[0].gen.arrived) / 10:9.1f} ms  the module logs: {text}"
+            for at, text in run.dry.modes[-5:]
         ]
-        if play.stories
+        if run.stories
         else []
     )
     return lines
 
 
-def _well(play: StatementRun, told: Any, verdict: Verdict) -> bool:
-    claims = [result.expectation for _, result in verdict.failed]
+def _meets_failed_claims(run: StatementRun, story: Any, verdict: Verdict) -> bool:
+    """Whether a generation meets the failed claims about a place that have no quantifier."""
+    expectations = [result.expectation for _, result in verdict.failed]
     try:
         return all(
-            play.evaluate_claim(expectation, told, "").holds
-            for expectation in claims
+            run.evaluate_claim(expectation, story, "").holds
+            for expectation in expectations
             if expectation.every is None and hasattr(expectation.claim, "place")
         )
     except Vacuous:
         return True
 
 
-def _board(rows: list[dict[str, Any]]) -> list[str]:
-    """Servers with the same figures stand in one line."""
+def _server_lines(rows: list[dict[str, Any]]) -> list[str]:
+    """The server table before a decision; servers with the same figures share a line."""
     lines = []
     for role in ("reader", "writer", "mixed"):
-        alike: dict[str, list[str]] = {}
-        for one in [one for one in rows if one["role"] == role]:
-            cold = (
+        names_by_text: dict[str, list[str]] = {}
+        for row in [row for row in rows if row["role"] == role]:
+            cold_text = (
                 ""
-                if one["cold_turn"] is None
-                else f", cold: does {one['warmth']:.0%}, next turn {one['cold_turn']:.2f}"
+                if row["cold_turn"] is None
+                else f", cold: capacity {row['warmth']:.0%}, admission credit {row['cold_turn']:.2f}"
             )
             text = (
-                f"rack {one['rack']}, {one['health']}, {one['held']:.1%} held ({one['own_tok']} tokens ours), "
-                f"{one['waiting']} legs wait{cold}" + (", tried already" if one["tried"] else "")
+                f"rack {row['rack']}, {row['health']}, {row['held']:.1%} held ({row['own_tok']} tokens of this gateway), "
+                f"{row['waiting']} legs waiting{cold_text}" + (", already tried" if row["tried"] else "")
+            )
+            names_by_text.setdefault(text, []).append(row["server"])
+        for text, names in list(names_by_text.items())[:MAX_SERVER_LINES]:
+            listed = ", ".join(names[:4]) + (f" and {len(names) - 4} more" if len(names) > 4 else "")
+            lines.append(f"                 {role} {listed}: {text}")
+        if len(names_by_text) > MAX_SERVER_LINES:
+            lines.append(
+                f"                 and {len(names_by_text) - MAX_SERVER_LINES} more lines of {role}s, which hold more"
             )
-            alike.setdefault(text, []).append(one["server"])
-        for text, names in list(alike.items())[:BOARD]:
-            some = ", ".join(names[:4]) + (f" and {len(names) - 4} more" if len(names) > 4 else "")
-            lines.append(f"                 {role} {some}: {text}")
-        if len(alike) > BOARD:
-            lines.append(f"                 and {len(alike) - BOARD} lines of {role}s more, which hold more")
     return lines
 
 
-def describe_cause(judge: Evaluator, name: str) -> list[str]:
-    """What a failure needs, and which smallest change would make the statement hold."""
-    plan = judge.book.plan(name)
+def describe_cause(evaluator: Evaluator, name: str) -> list[str]:
+    """What a failure requires, and the smallest changes that would make the statement hold."""
+    plan = evaluator.book.plan(name)
     if plan.statement.traffic is None:
         return []
-    found = minimize_failure(judge, plan)
+    cause = minimize_failure(evaluator, plan)
     lines = [
-        f"for it to fail it is enough: {'; '.join(found.required)}"
-        if found.required
+        f"for it to fail it is enough: {'; '.join(cause.required)}"
+        if cause.required
         else "it fails without any circumstance"
     ]
-    lines += [f"it would hold {one}" for one in found.fixes[:4]] or [
+    lines += [f"it would hold {change}" for change in cause.fixes[:4]] or [
         "no single change that was tried makes it hold"
     ]
     return lines
@@ -152,21 +169,29 @@
 
 def differences(before: list[Verdict], after: list[Verdict]) -> list[tuple[str, str, str]]:
     """Statements whose verdict or decisions differ: name, what changed, and an example of it."""
-    old = {one.statement.name: one for one in before}
-    found = []
-    for one in after:
-        was = old.get(one.statement.name)
-        if was is None:
+    previous = {verdict.statement.name: verdict for verdict in before}
+    changed = []
+    for verdict in after:
+        earlier = previous.get(verdict.statement.name)
+        if earlier is None:
             continue
-        if was.label() != one.label():
-            found.append(
-                (one.statement.name, f"{was.label()}, now {one.label()}", one.reason() or was.reason())
+        if earlier.label() != verdict.label():
+            changed.append(
+                (
+                    verdict.statement.name,
+                    f"{earlier.label()}, now {verdict.label()}",
+                    verdict.reason() or earlier.reason(),
+                )
             )
-        elif was.decisions != one.decisions:
-            pairs = [(a, b) for a, b in zip(was.decisions, one.decisions) if a != b]
-            many = f"{len(pairs)} of {len(one.decisions)} decisions differ"
+        elif earlier.decisions != verdict.decisions:
+            pairs = [
+                (first, second)
+                for first, second in zip(earlier.decisions, verdict.decisions)
+                if first != second
+            ]
+            summary = f"{len(pairs)} of {len(verdict.decisions)} decisions differ"
             example = (
                 f"{pairs[0][0]}  ->  {pairs[0][1].partition(': ')[2]}" if pairs else "their number differs"
             )
-            found.append((one.statement.name, f"{one.label()}, as before; {many}", example))
-    return found
+            changed.append((verdict.statement.name, f"{verdict.label()}, as before; {summary}", example))
+    return changed
