--- a/stackpitch/expect/report.py
+++ b/stackpitch/expect/report.py
@@ -67,7 +67,7 @@
 
 
 def explain_run(evaluator: Evaluator, name: str, verdict: Verdict) -> list[str]:
-    """Replays the run that failed, or else the first, with the figures that the module had at each decision."""
+    """Replays the run that failed, or else the first, with the module's figures at each decision."""
     plan = evaluator.book.plan(name)
     traffic = plan.statement.traffic
     if traffic is None or verdict.error:
--- a/tests/test_expect.py
+++ b/tests/test_expect.py
@@ -1,5 +1,8 @@
-"""Statements: the starter sets hold, broken configurations fail by the statement that names them, hostile files cost
-nothing, and the dry world sees what it is there to see."""
+"""Tests of statements on routing (`stackpitch expect`).
+
+The starter sets hold, a broken configuration fails the statement about it, hostile files are rejected quickly, and
+the dry run detects each broken rule.
+"""
 
 import json
 import os
@@ -28,50 +31,58 @@
 from stackpitch.settings.model import Settings
 
 ROOT = Path(__file__).parent.parent
-SETS = ROOT / "expectations"
+STARTER_SETS = ROOT / "expectations"
 
 
-def read(name):
-    return configuration(SETS / name / "gateway.jsonnet", {}, None), books(
-        (SETS / "common.expect", SETS / name)
+def load_set(name):
+    """The configuration and the book of a starter set."""
+    return configuration(STARTER_SETS / name / "gateway.jsonnet", {}, None), books(
+        (STARTER_SETS / "common.expect", STARTER_SETS / name)
     )
 
 
-def judged(text, name="hall-20", settings=None, fleet=None, make=RuledBrain):
-    given, _ = read(name)
+def evaluate_text(text, name="hall-20", settings=None, fleet=None, make_brain=RuledBrain):
+    loaded, _ = load_set(name)
     book = Book([parse(text, "made.expect")])
-    judge = Evaluator(book, deployment(settings or given.settings, fleet or given.fleet), make_brain=make)
-    return judge, {one.statement.name: one for one in judge.evaluate_all()}
+    evaluator = Evaluator(
+        book, deployment(settings or loaded.settings, fleet or loaded.fleet), make_brain=make_brain
+    )
+    return evaluator, {verdict.statement.name: verdict for verdict in evaluator.evaluate_all()}
 
 
-def changed(given, path, value):
-    """Settings with one field put in or changed; `fleet.NAME.FIELD` changes a server."""
-    tree, fleet = given.settings.model_dump(), given.fleet.model_dump()
+def change_configuration(loaded, path, value):
+    """Settings and fleet with the field at `path` set, or left out if `value` is None.
+
+    `fleet.NAME.FIELD` is a field of a server.
+    """
+    tree, fleet = loaded.settings.model_dump(), loaded.fleet.model_dump()
     first, *rest = path.split(".")
     if first == "fleet":
-        servers = {one["name"]: one for one in fleet["servers"]}
+        servers = {server["name"]: server for server in fleet["servers"]}
         if value is None:
             fleet["servers"].remove(servers[rest[0]])
         else:
             servers[rest[0]][rest[1]] = value
     else:
-        here = tree
+        node = tree
         for step in [first, *rest][:-1]:
-            here = here[int(step) if isinstance(here, list) else step]
-        last = int(path.rpartition(".")[2]) if isinstance(here, list) else path.rpartition(".")[2]
+            node = node[int(step) if isinstance(node, list) else step]
+        last = int(path.rpartition(".")[2]) if isinstance(node, list) else path.rpartition(".")[2]
         if value is None:
-            del here[last]
+            del node[last]
         else:
-            here[last] = value
+            node[last] = value
     return check(Settings, tree, "changed"), check(FleetFile, fleet, "changed")
 
 
 @pytest.mark.parametrize("name", ["hall-20", "twin-50"])
 def test_starter_sets_hold(name):
-    given, book = read(name)
-    judge = Evaluator(book, given.deployment())
-    assert {one.statement.name: one.reason() for one in judge.evaluate_all() if not one.passed} == {}
-    assert book.contradictions(judge.sets) == []
+    loaded, book = load_set(name)
+    evaluator = Evaluator(book, loaded.deployment())
+    assert {
+        verdict.statement.name: verdict.reason() for verdict in evaluator.evaluate_all() if not verdict.passed
+    } == {}
+    assert book.contradictions(evaluator.sets) == []
 
 
 def test_the_large_starter_set_holds():
@@ -81,10 +92,10 @@
             "-m",
             "stackpitch",
             "expect",
-            str(SETS / "common.expect"),
-            str(SETS / "grid-300"),
+            str(STARTER_SETS / "common.expect"),
+            str(STARTER_SETS / "grid-300"),
             "-c",
-            str(SETS / "grid-300" / "gateway.jsonnet"),
+            str(STARTER_SETS / "grid-300" / "gateway.jsonnet"),
             "--json",
         ],
         capture_output=True,
@@ -94,7 +105,7 @@
     assert (done.returncode, tree["failed"], tree["contradictions"]) == (0, 0, []) and tree["held"] > 35
 
 
-BROKEN = [
+BROKEN_CONFIGURATIONS = [
     (
         "hall-20",
         "products.reserva.effect",
@@ -127,15 +138,15 @@
 ]
 
 
-@pytest.mark.parametrize("name,path,value,statement", BROKEN)
-def test_a_broken_configuration_fails_by_name(name, path, value, statement):
-    given, book = read(name)
-    settings, fleet = changed(given, path, value)
-    judge = Evaluator(book, deployment(settings, fleet))
-    assert not judge.evaluate(statement).passed
+@pytest.mark.parametrize("name,path,value,statement", BROKEN_CONFIGURATIONS)
+def test_broken_configuration_fails_the_statement_about_it(name, path, value, statement):
+    loaded, book = load_set(name)
+    settings, fleet = change_configuration(loaded, path, value)
+    evaluator = Evaluator(book, deployment(settings, fleet))
+    assert not evaluator.evaluate(statement).passed
 
 
-WELL = """statement "a":
+SERVER_STATE_STATEMENTS = """statement "a":
   while server w1 drains
   when a first turn of reserva comes
   then it never goes to server w1
@@ -152,7 +163,7 @@
 
 
 @pytest.mark.parametrize(
-    "state,words",
+    "state,labels",
     [
         ("drains", ("holds", "fails", "holds")),
         ("is gone", ("holds", "fails", "holds")),
@@ -160,17 +171,17 @@
         ("is cold", ("fails", "fails", "fails")),
     ],
 )
-def test_a_statement_that_hangs_on_the_state_of_a_server(state, words):
+def test_verdict_depends_on_server_state(state, labels):
     text = (
-        WELL.replace("drains", state)
+        SERVER_STATE_STATEMENTS.replace("drains", state)
         .replace("when a first", "when 40 first")
         .replace("reserva comes", "reserva come")
     )
-    _, found = judged(text)
-    assert tuple(found[name].label() for name in "abc")[::2] == words[::2]
+    _, verdicts = evaluate_text(text)
+    assert tuple(verdicts[name].label() for name in "abc")[::2] == labels[::2]
 
 
-CASES = [  # what is stated, its word, and what the reason holds
+VERDICT_CASES = [  # the statement, its verdict, and a part of the reason
     (
         "after its writer resets before output when a first turn of consulta comes then it is streamed",
         "holds",
@@ -292,29 +303,38 @@
 ]
 
 
-@pytest.mark.parametrize("text,word,why", CASES)
-def test_verdicts(text, word, why):
-    _, found = judged(f'statement "x": {text}')
-    assert found["x"].label() == word and why in found["x"].reason(), found["x"].reason()
+@pytest.mark.parametrize("text,label,reason", VERDICT_CASES)
+def test_verdicts(text, label, reason):
+    _, verdicts = evaluate_text(f'statement "x": {text}')
+    assert verdicts["x"].label() == label and reason in verdicts["x"].reason(), verdicts["x"].reason()
+
 
+def test_share_holds_on_average_but_not_for_one_rack():
+    """All four readers of rack 1 have a low weight or drain.
 
-def test_a_share_that_is_true_in_the_mean_and_false_for_one_rack():
-    """Six of rack 1's readers are old: of the rest one half falls to each, but the mean over both hides it."""
-    given, _ = read("hall-20")
-    settings, fleet = given.settings, given.fleet
+    A share over both racks hides that rack 1 gets too little; a share for each rack shows it.
+    """
+    loaded, _ = load_set("hall-20")
+    settings, fleet = loaded.settings, loaded.fleet
     for name in ("r1", "r3"):
-        settings, fleet = changed(type(given)(settings, fleet), f"fleet.{name}.weight", 0.05)
+        settings, fleet = change_configuration(type(loaded)(settings, fleet), f"fleet.{name}.weight", 0.05)
     for name in ("r5", "r7"):
-        settings, fleet = changed(type(given)(settings, fleet), f"fleet.{name}.state", "draining")
+        settings, fleet = change_configuration(
+            type(loaded)(settings, fleet), f"fleet.{name}.state", "draining"
+        )
     text = """statement "mean":
       when 600 first turns of consulta come then at least 95% of them are read by servers in rack 1 or servers in rack 2
     statement "each":
       when 600 first turns of consulta come then for every rack, at least 35% of them are read by that rack"""
-    _, found = judged(text, settings=settings, fleet=fleet)
-    assert found["mean"].passed and found["each"].label() == "fails" and "rack 1" in found["each"].reason()
+    _, verdicts = evaluate_text(text, settings=settings, fleet=fleet)
+    assert (
+        verdicts["mean"].passed
+        and verdicts["each"].label() == "fails"
+        and "rack 1" in verdicts["each"].reason()
+    )
 
 
-CLASHES = [
+CONTRADICTORY_CLAIMS = [
     ("it is streamed", "it is throttled"),
     ("it is streamed", "it is not streamed"),
     ("it goes to server w1", "it goes to server w2"),
@@ -328,8 +348,8 @@
 ]
 
 
-@pytest.mark.parametrize("one,other", CLASHES)
-def test_contradictions_are_named(one, other):
+@pytest.mark.parametrize("one,other", CONTRADICTORY_CLAIMS)
+def test_contradictions_are_reported(one, other):
     def book(first, second, product="every product"):
         return Book(
             [
@@ -341,69 +361,69 @@
             ]
         )
 
-    given, _ = read("hall-20")
-    sets = Evaluator(book(one, other), given.deployment()).sets
+    loaded, _ = load_set("hall-20")
+    sets = Evaluator(book(one, other), loaded.deployment()).sets
     for first, second in ((one, other), (other, one)):
         assert [found[:2] for found in book(first, second).contradictions(sets)] == [("one", "two")]
     assert book(one, other, "reserva").contradictions(sets) == []
     assert book(one, one).contradictions(sets) == []
 
 
-def test_statements_stand_alone():
-    """In any order, and one by one, each has the same verdict and the same decisions."""
-    given, book = read("twin-50")
+def test_statements_are_independent():
+    """Verdicts and decisions don't depend on the order of evaluation or on the other statements."""
+    loaded, book = load_set("twin-50")
     names = list(book.statements)[:24]
-    there = {
-        one.statement.name: (one.label(), one.decisions)
-        for one in Evaluator(book, given.deployment()).evaluate_all(names)
+    forward = {
+        verdict.statement.name: (verdict.label(), verdict.decisions)
+        for verdict in Evaluator(book, loaded.deployment()).evaluate_all(names)
     }
-    back = {
-        one.statement.name: (one.label(), one.decisions)
-        for one in Evaluator(book, given.deployment()).evaluate_all(names[::-1])
+    backward = {
+        verdict.statement.name: (verdict.label(), verdict.decisions)
+        for verdict in Evaluator(book, loaded.deployment()).evaluate_all(names[::-1])
     }
-    alone = Evaluator(book, given.deployment()).evaluate(names[7])
-    assert there == back and there[names[7]] == (alone.label(), alone.decisions)
+    alone = Evaluator(book, loaded.deployment()).evaluate(names[7])
+    assert forward == backward and forward[names[7]] == (alone.label(), alone.decisions)
 
 
-def test_a_failure_tells_what_it_hangs_on():
+def test_failure_is_reduced_to_its_cause():
     text = """statement "x":
       while 1 of readers hang
       while half of readers are slow by 3 times
       after its writer resets before output
       when a first turn of reserva comes, opening "p"
       then it is streamed"""
-    judge, found = judged(text)
-    cause = minimize_failure(judge, judge.book.plan("x"))
+    evaluator, verdicts = evaluate_text(text)
+    cause = minimize_failure(evaluator, evaluator.book.plan("x"))
     assert cause.required == ["after its writer resets before output"]
     assert 'without "after its writer resets before output"' in cause.fixes and "for consulta" in cause.fixes
-    told = "\n".join(report.explain_run(judge, "x", found["x"]))
+    explanation = "\n".join(report.explain_run(evaluator, "x", verdicts["x"]))
     for part in ("is sent to", "held", "reset", "is terminated", "what it holds is let go"):
-        assert part in told
+        assert part in explanation
 
 
-def test_what_differs_between_two_configurations():
-    given, _ = read("hall-20")
-    settings, fleet = changed(given, "products.reserva.effect", "idempotent")
+def test_differences_between_two_configurations():
+    loaded, _ = load_set("hall-20")
+    settings, fleet = change_configuration(loaded, "products.reserva.effect", "idempotent")
     text = """statement "again": after its writer resets before output when a first turn of reserva comes then at most 4 legs are sent
     statement "word": after its writer resets before output when a first turn of reserva comes then it is streamed
     statement "same": when a first turn of consulta comes then it is streamed"""
-    _, before = judged(text)
-    _, after = judged(text, settings=settings, fleet=fleet)
-    found = report.differences(list(before.values()), list(after.values()))
-    assert [(name, what.partition(";")[0]) for name, what, _ in found] == [
+    _, before = evaluate_text(text)
+    _, after = evaluate_text(text, settings=settings, fleet=fleet)
+    differences = report.differences(list(before.values()), list(after.values()))
+    assert [(name, change.partition(";")[0]) for name, change, _ in differences] == [
         ("again", "holds, as before"),
         ("word", "fails, now holds"),
     ]
 
 
-# The dry world sees breaches: modules broken on purpose, one rule each.
+# The dry run detects broken rules: each of these modules breaks one on purpose.
 
 
-class Twice(Dispatcher):
+class RetriesWhatMayHaveRun(Dispatcher):
     may_have_run = staticmethod(lambda gen: [])
 
 
-class Blind(Dispatcher):
+class IgnoresServerState(Dispatcher):
     def may_send(self, now, gen, server):
         return (
             not gen.over
@@ -412,75 +432,85 @@
         )
 
 
-class Mute(Dispatcher):
+class DropsRefusals(Dispatcher):
     def refuse(self, gen, why):
         pass
 
 
-def broken(guard=None, eager=False, drains=False, keeps=False):
+def make_broken_brain(
+    dispatcher_class=None, ignore_slow_start=False, ignore_draining=False, never_release=False
+):
     def make(gateway, seed, preferences, **arguments):
         brain = RuledBrain(gateway, seed, preferences, **arguments)
-        if guard is not None:
-            old = brain.dispatcher
-            brain.dispatcher = guard(brain.fleet, old.max_legs, old.max_retry_after, old.held_state)
+        if dispatcher_class is not None:
+            original = brain.dispatcher
+            brain.dispatcher = dispatcher_class(
+                brain.fleet, original.max_legs, original.max_retry_after, original.held_state
+            )
             for stage in (brain.admission, brain.affinity, brain.reader, brain.writer):
                 stage.dispatcher = brain.dispatcher
-        if keeps:
+        if never_release:
             brain.held_state.release = brain.held_state._due = lambda *_: None
-        if eager:
-            brain.fleet.admit_cold = lambda seat, now, gen: setattr(seat, "admitted_gen", gen) or True
-            brain.fleet.held_share = lambda seat, now, usual: 0.0 if brain.fleet.is_cold(seat, now) else 0.5
-        if drains:
+        if ignore_slow_start:
+            brain.fleet.admit_cold = lambda state, now, gen: setattr(state, "admitted_gen", gen) or True
+            brain.fleet.held_share = lambda state, now, average: (
+                0.0 if brain.fleet.is_cold(state, now) else 0.5
+            )
+        if ignore_draining:
             update = brain.fleet.update
 
-            def late(now, servers, complete):
+            def update_and_list_all(now, servers, complete):
                 update(now, servers, complete)
                 for role in brain.fleet.by_role:
                     brain.fleet.by_role[role] = [
-                        one for one in brain.fleet.server_states.values() if one.server.role == role
+                        state for state in brain.fleet.server_states.values() if state.server.role == role
                     ]
 
-            brain.fleet.update = late
+            brain.fleet.update = update_and_list_all
         return brain
 
     return make
 
 
 @pytest.mark.parametrize(
-    "rule,make,situation",
+    "rule,make_brain,situation",
     [
-        ("answered", broken(Mute), "while writers are gone"),
-        ("effects", broken(Twice), "after its writer resets before output"),
-        ("drains", broken(Blind, drains=True), "while half of servers drain"),
-        ("cold", broken(eager=True), "while server w1 is cold"),
-        ("pinned", broken(keeps=True), "after its writer resets before output"),
+        ("answered", make_broken_brain(DropsRefusals), "while writers are gone"),
+        ("effects", make_broken_brain(RetriesWhatMayHaveRun), "after its writer resets before output"),
+        (
+            "drains",
+            make_broken_brain(IgnoresServerState, ignore_draining=True),
+            "while half of servers drain",
+        ),
+        ("cold", make_broken_brain(ignore_slow_start=True), "while server w1 is cold"),
+        ("pinned", make_broken_brain(never_release=True), "after its writer resets before output"),
     ],
 )
-def test_the_dry_world_sees_each_rule_broken(rule, make, situation):
+def test_dry_run_detects_each_broken_rule(rule, make_brain, situation):
     text = f'statement "x": {situation} when 60 first turns of reserva come, at 50 a second then rule {rule} holds'
-    assert judged(text)[1]["x"].passed
-    assert judged(text, make=make)[1]["x"].label() == "fails"
+    assert evaluate_text(text)[1]["x"].passed
+    assert evaluate_text(text, make_brain=make_brain)[1]["x"].label() == "fails"
 
 
-def test_intervals():
-    """Against the published example of Wilson's interval: 10 of 20 at 95% gives 0.299 to 0.701."""
+def test_wilson_interval():
+    """The published example of the Wilson interval: 10 of 20 at 95% gives 0.299 to 0.701."""
     assert wilson_interval(10, 20, 0.95) == pytest.approx((0.299, 0.701), abs=0.001)
     assert wilson_interval(0, 50, 0.99)[0] == 0 and wilson_interval(50, 50, 0.99)[1] == 1
 
 
 def test_most_changes_are_noticed():
-    given, book = read("hall-20")
-    before = mutate.words(book, given.settings, given.fleet)
+    loaded, book = load_set("hall-20")
+    before = mutate.words(book, loaded.settings, loaded.fleet)
     changes = [
         one
-        for one in mutate.mutations(given.settings, given.fleet, 2)
+        for one in mutate.mutations(loaded.settings, loaded.fleet, 2)
         if one.kind in ("product", "kind", "dropped")
     ]
     noticed = [mutate.noticed_by(book, one, before, list(before)) for one in changes[::3]]
     assert len(noticed) > 8 and all(noticed)
 
 
-# Hostile files.
+# Hostile files and arbitrary text.
 
 HOSTILE = {
     "brackets": b"[" * 10_000_000,
@@ -500,24 +530,24 @@
 
 
 @pytest.mark.parametrize("name", HOSTILE)
-def test_hostile_files_are_refused_at_once(name, tmp_path):
+def test_hostile_files_are_rejected_quickly(name, tmp_path):
     path = tmp_path / "hostile.expect"
     path.write_bytes(HOSTILE[name])
     begun = time.monotonic()
-    with pytest.raises(BadStatement) as wrong:
+    with pytest.raises(BadStatement) as error:
         books((path,))
     took = time.monotonic() - begun
-    assert took < 1 and "\n" not in str(wrong.value) and len(str(wrong.value)) < 900
+    assert took < 1 and "\n" not in str(error.value) and len(str(error.value)) < 900
 
 
-def test_definitions_that_lead_back_to_themselves():
+def test_circular_definitions_are_rejected():
     text = 'define "a" as "b"\ndefine "b" as "a"\nstatement "x": when a first turn of consulta comes then it goes to "a"'
-    assert "leads back to itself" in judged(text)[1]["x"].reason()
+    assert "leads back to itself" in evaluate_text(text)[1]["x"].reason()
     text = 'situation "a": given "a"\nstatement "x": given "a" when a first turn of consulta comes then it is streamed'
-    assert "leads back to itself" in judged(text)[1]["x"].reason()
+    assert "leads back to itself" in evaluate_text(text)[1]["x"].reason()
 
 
-WORDS = [
+FUZZ_WORDS = [
     "statement",
     "situation",
     "define",
@@ -565,12 +595,12 @@
 
 
 @settings(max_examples=300, deadline=2000)
-@given(st.one_of(st.text(max_size=300), st.lists(st.sampled_from(WORDS), max_size=40).map(" ".join)))
-def test_no_text_does_harm(text):
+@given(st.one_of(st.text(max_size=300), st.lists(st.sampled_from(FUZZ_WORDS), max_size=40).map(" ".join)))
+def test_arbitrary_text_parses_or_is_rejected(text):
     try:
         page = parse(text, "fuzzed")
-    except BadStatement as wrong:
-        assert "\n" not in str(wrong)
+    except BadStatement as error:
+        assert "\n" not in str(error)
     else:
         assert parse(layout(page), "fuzzed") == page
 
@@ -607,7 +637,7 @@
     st.tuples(st.just("report"), PERCENTS),
     st.tuples(st.just("slow"), st.sampled_from([1.5, 20.0])),
 )
-ASKINGS = st.builds(
+TRAFFIC = st.builds(
     s.Traffic,
     st.one_of(st.none(), COUNTS),
     st.sampled_from(["first", "second", "third", "later"]),
@@ -629,7 +659,7 @@
     st.builds(s.Deploy, WHERES, COUNTS, st.integers(1, 10**6)),
     st.builds(s.Pause, st.integers(0, 10**6)),
     st.builds(s.TimeOfDay, st.integers(0, 1439), st.integers(0, 6)),
-    st.builds(s.EarlierTraffic, ASKINGS),
+    st.builds(s.EarlierTraffic, TRAFFIC),
     st.builds(
         s.LegEvent,
         st.sampled_from(["reader", "writer", "first leg"]),
@@ -657,34 +687,34 @@
         ),
     ),
 )
-ENDS = st.sampled_from(["streamed", "throttled", "terminated"])
-PARTS = st.sampled_from(["any", "read", "written"])
+ENDINGS = st.sampled_from(["streamed", "throttled", "terminated"])
+PHASES = st.sampled_from(["any", "read", "written"])
 CLAIMS = st.one_of(
-    st.builds(s.Goes, PARTS, PLACES),
+    st.builds(s.Goes, PHASES, PLACES),
     st.builds(s.Goes, st.just("any"), PLACES, st.just(True)),
-    st.builds(s.Ended, ENDS, st.booleans()),
+    st.builds(s.Ended, ENDINGS, st.booleans()),
     st.builds(s.Resent, st.booleans()),
     st.builds(s.LegCount, COUNTS, st.booleans()),
     st.builds(s.Answered, st.one_of(st.none(), st.integers(0, 10**6))),
     st.builds(s.Released, st.integers(0, 10**6)),
     st.builds(
-        lambda bounds, part, what, sure: s.Share(
-            *bounds, part if not isinstance(what, str) else "any", what, sure
+        lambda bounds, phase, target, confidence: s.Share(
+            *bounds, phase if not isinstance(target, str) else "any", target, confidence
         ),
         st.sampled_from([(0.0, 5.5), (5.0, 100.0), (20.0, 30.0)]),
-        PARTS,
-        st.one_of(PLACES, ENDS),
+        PHASES,
+        st.one_of(PLACES, ENDINGS),
         st.sampled_from([99.0, 95.0]),
     ),
     st.builds(s.RuleHolds, st.one_of(st.none(), st.sampled_from(["answered", "pinned"]))),
 )
-THENS = st.one_of(
+EXPECTATIONS = st.one_of(
     st.builds(s.Expectation, CLAIMS),
     st.builds(
         s.Expectation, CLAIMS, st.sampled_from(["rack", "zone", "server"]), st.one_of(st.none(), WHERES)
     ),
 )
-FACTS = st.builds(
+SETTING_EXPECTATIONS = st.builds(
     s.Expectation,
     st.one_of(
         st.builds(
@@ -700,8 +730,8 @@
         st.just("x"),
         st.booleans(),
         st.lists(CIRCUMSTANCES, max_size=3).map(tuple),
-        ASKINGS,
-        st.lists(THENS, min_size=1, max_size=3).map(tuple),
+        TRAFFIC,
+        st.lists(EXPECTATIONS, min_size=1, max_size=3).map(tuple),
     ),
     st.builds(
         s.Statement,
@@ -709,31 +739,31 @@
         st.booleans(),
         st.just(()),
         st.none(),
-        st.lists(FACTS, min_size=1, max_size=3).map(tuple),
+        st.lists(SETTING_EXPECTATIONS, min_size=1, max_size=3).map(tuple),
     ),
 )
 
 
 @settings(max_examples=300, deadline=2000)
 @given(STATEMENTS)
-def test_what_is_written_is_read_back(statement):
+def test_layout_round_trips(statement):
     page = s.StatementFile("x", (s.Definition("some racks", s.Where((s.Term("servers"),))), statement))
     text = layout(page)
-    again = parse(text, "x")
-    assert again == page, text
-    assert layout(again) == text
+    reparsed = parse(text, "x")
+    assert reparsed == page, text
+    assert layout(reparsed) == text
 
 
-def test_comments_stay_where_they_stood():
+def test_comments_keep_their_place():
     text = '# head\ndefine "x" as servers  # beside "x"\n\nstatement "y":\n  # before\n  when a first turn of a comes\n  then it is streamed\n# end\n'
     assert layout(parse(text, "x")) == text
 
 
-def test_the_command(tmp_path):
-    config = str(SETS / "hall-20" / "gateway.jsonnet")
+def test_command_line(tmp_path):
+    config = str(STARTER_SETS / "hall-20" / "gateway.jsonnet")
 
     def run(name, *words, text):
-        """Its file has the name; it runs beside the others."""
+        """Starts the command on a file of this name, in parallel with the others."""
         (tmp_path / f"{name}.expect").write_text(text)
         return subprocess.Popen(
             [sys.executable, "-m", "stackpitch", "expect", str(tmp_path / f"{name}.expect"), *words],
@@ -762,33 +792,35 @@
         "none": run("none", "-c", config, text=good.replace("consulta", "none")),
         "same": run("same", "-c", config, "--against", config, "--json", "--coverage", text=good),
     }
-    said = {name: (*one.communicate(timeout=60), one.returncode) for name, one in runs.items()}
-    assert said["good"][2] == 0 and 'failures="0"' in (tmp_path / "good.xml").read_text()
-    out, _, code = said["bad"]
+    results = {name: (*process.communicate(timeout=60), process.returncode) for name, process in runs.items()}
+    assert results["good"][2] == 0 and 'failures="0"' in (tmp_path / "good.xml").read_text()
+    out, _, code = results["bad"]
     assert code == 1 and "fails" in out and "is sent to" in out
     assert 'failures="1"' in (tmp_path / "bad.xml").read_text()
-    _, complaints, code = said["wrong"]
-    assert code == 2 and "wrong.expect:3:3: found 'than'; allowed:" in complaints
-    assert said["checked"][2] == 1 and (tmp_path / "checked.expect").read_text() == good.replace("\n  ", " ")
-    assert said["formatted"][2] == 0 and (tmp_path / "formatted.expect").read_text() == good
-    assert "no product" in said["none"][0]
-    same = json.loads(said["same"][0])
+    _, errors, code = results["wrong"]
+    assert code == 2 and "wrong.expect:3:3: found 'than'; allowed:" in errors
+    assert results["checked"][2] == 1 and (tmp_path / "checked.expect").read_text() == good.replace(
+        "\n  ", " "
+    )
+    assert results["formatted"][2] == 0 and (tmp_path / "formatted.expect").read_text() == good
+    assert "no product" in results["none"][0]
+    same = json.loads(results["same"][0])
     assert same["differs"] == [] and same["untouched"]["products"] == ["reserva"]
 
 
-def sockets(pid):
-    found = 0
-    for one in (Path("/proc") / str(pid) / "fd").iterdir():
+def count_sockets(pid):
+    count = 0
+    for descriptor in (Path("/proc") / str(pid) / "fd").iterdir():
         try:
-            found += os.readlink(one).startswith("socket:")
+            count += os.readlink(descriptor).startswith("socket:")
         except OSError:
             pass
-    return found
+    return count
 
 
 def test_no_socket_is_opened():
-    """Seen from outside, in /proc; the same look does see those of a process that listens."""
-    listening = subprocess.Popen(
+    """Checked from outside, in /proc; the same check does see the socket of a process that has one."""
+    open_socket = subprocess.Popen(
         [
             sys.executable,
             "-c",
@@ -796,39 +828,39 @@
         ],
         stdout=subprocess.PIPE,
     )
-    listening.stdout.read(1)
-    assert sockets(listening.pid) == 1
-    listening.kill()
-    listening.wait()
-    ours = subprocess.Popen(
+    open_socket.stdout.read(1)
+    assert count_sockets(open_socket.pid) == 1
+    open_socket.kill()
+    open_socket.wait()
+    command = subprocess.Popen(
         [
             sys.executable,
             "-m",
             "stackpitch",
             "expect",
-            str(SETS / "common.expect"),
-            str(SETS / "hall-20"),
+            str(STARTER_SETS / "common.expect"),
+            str(STARTER_SETS / "hall-20"),
             "-c",
-            str(SETS / "hall-20" / "gateway.jsonnet"),
+            str(STARTER_SETS / "hall-20" / "gateway.jsonnet"),
             "--jobs",
             "1",
         ],
         cwd=ROOT,
         stdout=subprocess.DEVNULL,
     )
-    looks = 0
-    while ours.poll() is None:
+    checks = 0
+    while command.poll() is None:
         try:
-            assert sockets(ours.pid) == 0
-            looks += 1
+            assert count_sockets(command.pid) == 0
+            checks += 1
         except (FileNotFoundError, PermissionError):
             break
         time.sleep(0.002)
-    assert ours.wait() == 0 and looks > 50
+    assert command.wait() == 0 and checks > 50
 
 
 @pytest.mark.parametrize(
-    "rules,said",
+    "rules,message",
     [
         ([{"name": "a", "how": "only", "where": {}, "products": ["none"]}], "rules.0.products: found 'none'"),
         ([{"name": "a", "how": "only", "where": {"kinds": ["none"]}}], "rules.0.where.kinds: found 'none'"),
@@ -843,13 +875,13 @@
         ),
     ],
 )
-def test_rules_that_make_no_sense_are_refused(rules, said):
-    given, _ = read("hall-20")
-    with pytest.raises(BadSettings, match=said.replace(".", r"\.")):
-        check(Settings, given.settings.model_dump() | {"rules": rules}, "x")
+def test_invalid_rules_are_rejected(rules, message):
+    loaded, _ = load_set("hall-20")
+    with pytest.raises(BadSettings, match=message.replace(".", r"\.")):
+        check(Settings, loaded.settings.model_dump() | {"rules": rules}, "x")
 
 
-RULES = [  # rules, then a statement that must hold with them and fail without
+EFFECTIVE_RULES = [  # rules, and a statement that must hold with them and fail without
     (
         [{"name": "a", "how": "only", "where": {"cells": [2]}, "products": ["reserva"]}],
         "when 40 first turns of reserva come then it goes to servers in rack 2",
@@ -887,7 +919,7 @@
         "and no rule is broken",
     ),
 ]
-BESIDE = [  # what the same kinds of rule leave alone
+UNAFFECTED = [  # rules of the same kinds, and what must hold with them
     (
         [
             {
@@ -915,27 +947,27 @@
 
 
 @pytest.mark.parametrize(
-    "rules,text,hold", [(*one, True) for one in RULES] + [(*one, False) for one in BESIDE]
+    "rules,text,required", [(*one, True) for one in EFFECTIVE_RULES] + [(*one, False) for one in UNAFFECTED]
 )
-def test_rules_narrow_and_no_more(rules, text, hold):
-    given, _ = read("hall-20")
-    with_them = check(Settings, given.settings.model_dump() | {"rules": rules}, "x")
-    found = judged(f'statement "x": {text}', settings=with_them)[1]["x"]
-    assert found.passed, found.reason()
-    if hold:
-        assert judged(f'statement "x": {text}')[1]["x"].label() == "fails"
-
-
-def test_without_rules_the_module_is_as_before():
-    """All decisions of the set for 20 servers, with the plain module and with the one that takes rules."""
-    given, book = read("hall-20")
+def test_rules_restrict_only_what_they_name(rules, text, required):
+    loaded, _ = load_set("hall-20")
+    with_rules = check(Settings, loaded.settings.model_dump() | {"rules": rules}, "x")
+    verdict = evaluate_text(f'statement "x": {text}', settings=with_rules)[1]["x"]
+    assert verdict.passed, verdict.reason()
+    if required:
+        assert evaluate_text(f'statement "x": {text}')[1]["x"].label() == "fails"
+
+
+def test_ruled_brain_without_rules_decides_like_the_plain_one():
+    """Without rules, RuledBrain decides like the plain Brain in all statements of the set for 20 servers."""
+    loaded, book = load_set("hall-20")
     names = list(book.statements)
-    ruled = [one.decisions for one in Evaluator(book, given.deployment()).evaluate_all(names)]
+    ruled = [verdict.decisions for verdict in Evaluator(book, loaded.deployment()).evaluate_all(names)]
     plain = [
-        one.decisions
-        for one in Evaluator(
+        verdict.decisions
+        for verdict in Evaluator(
             book,
-            given.deployment(),
+            loaded.deployment(),
             make_brain=lambda gateway, seed, preferences, **arguments: Brain(gateway, seed, **arguments),
         ).evaluate_all(names)
     ]
