--- a/stackpitch/expect/evaluate.py
+++ b/stackpitch/expect/evaluate.py
@@ -39,6 +39,7 @@
     draw: int
 
     def text(self) -> str:
+        """The variant as reports print it."""
         return self.product + (f" from {self.customer}" if self.customer else "") + f", play {self.draw + 1}"
 
 
@@ -65,6 +66,7 @@
     plays: int = 0  # runs
 
     def label(self) -> str:
+        """The verdict in a word, as reports print it."""
         return (
             "can't apply"
             if self.error
@@ -76,6 +78,7 @@
         )
 
     def reason(self) -> str:
+        """Why the statement does not hold: its error, what did not occur, or the first three failed claims."""
         if self.error or self.vacuous:
             return self.error or f"its situation never came about: {self.vacuous}"
         return "; ".join(f"{result.expectation.text()}: {result.reason}" for _, result in self.failed[:3])
