--- a/stackpitch/expect/book.py
+++ b/stackpitch/expect/book.py
@@ -183,15 +183,15 @@
             (other.expected and claim.how != other.how) or (not other.expected and claim.how == other.how)
         )
     if isinstance(claim, s.Ended) and isinstance(other, s.Goes):
-        return claim.expected and claim.how == "throttled" and not other.never and other.part == "written"
+        return claim.expected and claim.how == "throttled" and not other.never and other.phase == "written"
     if isinstance(claim, s.Goes) and isinstance(other, s.Goes) and not claim.never:
         if isinstance(claim.place, s.Where) and isinstance(other.place, s.Where):
             names, other_names = sets.select(claim.place, ""), sets.select(other.place, "")
             if other.never:
                 return names <= other_names
             roles = {server.name: server.role for server in sets.deployment.fleet}
-            comparable = claim.part == other.part and (
-                claim.part != "any" or {roles[name] for name in names} & {roles[name] for name in other_names}
+            comparable = claim.phase == other.phase and (
+                claim.phase != "any" or {roles[name] for name in names} & {roles[name] for name in other_names}
             )
             return bool(comparable) and not names & other_names
         return other.never and claim.place == other.place
@@ -203,7 +203,7 @@
         return claim.expected != other.expected
     if isinstance(claim, s.Share) and isinstance(other, s.Share):
         return (
-            claim.part == other.part
+            claim.phase == other.phase
             and claim.target == other.target
             and (claim.high < other.low or other.high < claim.low)
         )
