--- a/stackpitch/expect/book.py
+++ b/stackpitch/expect/book.py
@@ -80,7 +80,9 @@
         """Raises BadStatement if the statement can't apply to the configuration."""
         location, statement = plan.location, plan.statement
         askings = [
-            circumstance.traffic for circumstance in plan.circumstances if isinstance(circumstance, s.EarlierTraffic)
+            circumstance.traffic
+            for circumstance in plan.circumstances
+            if isinstance(circumstance, s.EarlierTraffic)
         ]
         askings += [statement.traffic] if statement.traffic is not None else []
         for asking in askings:
@@ -191,7 +193,8 @@
                 return names <= other_names
             roles = {server.name: server.role for server in sets.deployment.fleet}
             comparable = claim.phase == other.phase and (
-                claim.phase != "any" or {roles[name] for name in names} & {roles[name] for name in other_names}
+                claim.phase != "any"
+                or {roles[name] for name in names} & {roles[name] for name in other_names}
             )
             return bool(comparable) and not names & other_names
         return other.never and claim.place == other.place
--- a/stackpitch/expect/evaluate.py
+++ b/stackpitch/expect/evaluate.py
@@ -329,7 +329,9 @@
             self.evaluator.coverage.states.add("clock")
         elif isinstance(circumstance, s.ServerCondition):
             names = choose_servers(
-                self.evaluator.sets.select(circumstance.where, self.plan.location), circumstance.amount, self.run_id
+                self.evaluator.sets.select(circumstance.where, self.plan.location),
+                circumstance.amount,
+                self.run_id,
             )
             if not names:
                 raise Vacuous(f"{circumstance.amount.text()}{circumstance.where.text()} is no server at all")
@@ -386,8 +388,9 @@
         """Schedules a deploy in batches: each drains, leaves the list, and comes back cold."""
         dry, names = (
             self.dry,
-            choose_servers(self.evaluator.sets.select(deploy.where, self.plan.location), s.Amount(), self.run_id),
-        ),
+            choose_servers(
+                self.evaluator.sets.select(deploy.where, self.plan.location), s.Amount(), self.run_id
+            ),
         )
         batches = [names[offset : offset + deploy.size] for offset in range(0, len(names), deploy.size)]
         batch_interval = max(1, deploy.time // len(batches))
