--- a/benchmarks/expect.py
+++ b/benchmarks/expect.py
@@ -12,7 +12,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from stackpitch.cli.expect import Given, run
+from stackpitch.cli.expect import Configuration, evaluate
 from stackpitch.expect.book import Book
 from stackpitch.expect.parse import parse
 from stackpitch.settings.load import check
@@ -72,9 +72,9 @@
     return Book([parse(text, "made")])
 
 
-def timed(given: Given, statements: Book, jobs: int) -> tuple[float, int, int]:
+def timed(configuration: Configuration, statements: Book, jobs: int) -> tuple[float, int, int]:
     begun = time.perf_counter()
-    _, verdicts = run(statements, given, 3, (), jobs)
+    _, verdicts = evaluate(statements, configuration, 3, (), jobs)
     return time.perf_counter() - begun, sum(one.passed for one in verdicts), len(verdicts)
 
 
@@ -132,7 +132,7 @@
     for column in ("servers", "held", "seconds", "statements a second"):
         table.add_column(column, justify="right")
     for size in (20, 50, 300, 2000):
-        took, held, count = timed(Given(settings(), fleet(size)), book(200, size), jobs)
+        took, held, count = timed(Configuration(settings(), fleet(size)), book(200, size), jobs)
         table.add_row(f"{size:,}", f"{held} of {count}", f"{took:.2f}", f"{count / took:.0f}")
     console.print(table)
     table = Table(
@@ -141,7 +141,7 @@
     for column in ("configuration", "do not hold", "seconds"):
         table.add_column(column, justify="left" if column == "configuration" else "right")
     for name, made, servers in broken():
-        took, held, count = timed(Given(made, servers), book(200, 300), jobs)
+        took, held, count = timed(Configuration(made, servers), book(200, 300), jobs)
         table.add_row(name, str(count - held), f"{took:.2f}")
     console.print(table)
 
--- a/stackpitch/__init__.py
+++ b/stackpitch/__init__.py
@@ -1,1 +1,1 @@
-"""A front for a language-model service whose prompts are read and answers written on different servers."""
+"""A request router for LLM services that run prefill (readers) and decode (writers) on separate servers."""
--- a/stackpitch/__main__.py
+++ b/stackpitch/__main__.py
@@ -1,3 +1,5 @@
+"""Runs the command line: `python -m stackpitch`."""
+
 from stackpitch.cli.main import main
 
 main()
--- a/stackpitch/cli/__init__.py
+++ b/stackpitch/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one verb for each thing that a person does."""
+"""The `stackpitch` command line."""
--- a/stackpitch/cli/commands/__init__.py
+++ b/stackpitch/cli/commands/__init__.py
@@ -1,4 +1,4 @@
-"""The commands, by what they are about."""
+"""The click commands, one module for each group."""
 
 from stackpitch.cli.commands.expect import expect
 from stackpitch.cli.commands.fleet import fleet
--- a/stackpitch/cli/commands/fleet.py
+++ b/stackpitch/cli/commands/fleet.py
@@ -1,4 +1,4 @@
-"""Lists of servers, in files and as a running gateway has them in force."""
+"""`stackpitch fleet`: lists of servers, in files and in force at a running gateway."""
 
 import sys
 from pathlib import Path
@@ -8,127 +8,144 @@
 import msgspec
 
 from stackpitch import settings as settings_package
-from stackpitch.cli.asking import CONFIG, SET, Asked, given
+from stackpitch.cli.options import CONFIG_OPTION, SET_OPTION, CommandError, parse_variables
 from stackpitch.settings import BadSettings, Settings
 
 
 @click.group()
 def fleet() -> None:
-    """Check and compare lists of servers; see and change what a running gateway has in force."""
+    """Check and compare lists of servers; show and change the list in force at a running gateway."""
 
 
-FILE = click.Path(path_type=Path)
-ADMIN = click.option("--admin", metavar="HOST:PORT", help="The gateway's admin port, if -c does not say it.")
-AS_JSON = click.option("--json", "as_json", is_flag=True, help="Print JSON instead of text.")
+PATH = click.Path(path_type=Path)
+ADMIN_OPTION = click.option(
+    "--admin", metavar="HOST:PORT", help="Address of the gateway's admin port, if -c does not give it."
+)
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Print JSON instead of text.")
 
 
-def admin_of(config: Path | None, sets: tuple[str, ...], admin: str | None) -> tuple[str, int]:
+def admin_address(config: Path | None, sets: tuple[str, ...], admin: str | None) -> tuple[str, int]:
+    """Host and port of the gateway's admin port, from `--admin` or else the settings. Raises CommandError."""
     if admin is not None:
         host, _, port = admin.rpartition(":")
         if not port.isdigit():
-            raise Asked(f"--admin {admin!r}: HOST:PORT is wanted")
+            raise CommandError(f"--admin {admin!r}: expected HOST:PORT")
         return host or "127.0.0.1", int(port)
     if config is None:
-        raise Asked("-c SETTINGS or --admin HOST:PORT is wanted")
+        raise CommandError("-c SETTINGS or --admin HOST:PORT is required")
     try:
-        read = settings_package.read(Settings, config, given(sets))
-    except BadSettings as wrong:
-        raise Asked(str(wrong)) from None
-    if not read.admin.port:
-        raise Asked(f"{config}: admin.port: the system chooses it; say --admin HOST:PORT")
-    return read.admin.host, read.admin.port
-
-
-def asked_of(address: tuple[str, int], method: str, target: str) -> tuple[int, Any]:
+        settings = settings_package.read(Settings, config, parse_variables(sets))
+    except BadSettings as error:
+        raise CommandError(str(error)) from None
+    if not settings.admin.port:
+        raise CommandError(
+            f"{config}: admin.port is 0 (chosen by the operating system): pass --admin HOST:PORT"
+        )
+    return settings.admin.host, settings.admin.port
+
+
+def call_admin(address: tuple[str, int], method: str, target: str) -> tuple[int, Any]:
+    """Status and decoded JSON body of one request to the admin port. Raises CommandError."""
     from stackpitch.cli.fleet import NoAnswer, call
 
     try:
         return call(address, method, target)
-    except NoAnswer as wrong:
-        raise Asked(str(wrong)) from None
+    except NoAnswer as error:
+        raise CommandError(str(error)) from None
 
 
 @fleet.command("check", epilog="Example: stackpitch fleet check new-fleet.json -c deploy/gateway.jsonnet")
-@click.argument("file", type=FILE)
-@CONFIG
-@SET
+@click.argument("file", type=PATH)
+@CONFIG_OPTION
+@SET_OPTION
 def fleet_check(file: Path, config: Path, sets: tuple[str, ...]) -> None:
-    """Check a fleet's file against settings, and print its digest."""
-    from stackpitch.cli.fleet import checked, told
+    """Check a fleet's file against settings and print its digest."""
+    from stackpitch.cli.fleet import fleet_digest, read_fleet
 
     try:
-        read = checked(file, settings_package.read(Settings, config, given(sets)))
-    except BadSettings as wrong:
-        click.echo(str(wrong), err=True)
+        fleet_file = read_fleet(file, settings_package.read(Settings, config, parse_variables(sets)))
+    except BadSettings as error:
+        click.echo(str(error), err=True)
         sys.exit(1)
-    right = not read.digest or read.digest == told(read)
+    matches = not fleet_file.digest or fleet_file.digest == fleet_digest(fleet_file)
     click.echo(
-        f"{file}: {'good' if right else 'its digest is another'}; version {read.version}, {len(read.servers)} servers, "
-        f"digest {told(read)}"
+        f"{file}: {'good' if matches else 'digest does not match its content'}; "
+        f"version {fleet_file.version}, {len(fleet_file.servers)} servers, digest {fleet_digest(fleet_file)}"
     )
-    sys.exit(0 if right else 1)
+    sys.exit(0 if matches else 1)
 
 
 @fleet.command("diff", epilog="Example: stackpitch fleet diff old.json new.json -c deploy/gateway.jsonnet")
-@click.argument("old", type=FILE)
-@click.argument("new", type=FILE)
-@CONFIG
-@SET
-@AS_JSON
+@click.argument("old", type=PATH)
+@click.argument("new", type=PATH)
+@CONFIG_OPTION
+@SET_OPTION
+@JSON_OPTION
 def fleet_diff(old: Path, new: Path, config: Path, sets: tuple[str, ...], as_json: bool) -> None:
-    """Show what changes between two lists, and what that does to shares of traffic."""
+    """Show what changes between two lists, and how each server's share of traffic changes."""
     from rich.console import Console
 
-    from stackpitch.cli import fleet as ours
+    from stackpitch.cli import fleet as implementation
 
     try:
-        read = settings_package.read(Settings, config, given(sets))
-        before, after = ours.checked(old, read), ours.checked(new, read)
-    except BadSettings as wrong:
-        raise Asked(str(wrong)) from None
-    found, one, other = ours.differ(before, after), ours.shares(read, before), ours.shares(read, after)
+        settings = settings_package.read(Settings, config, parse_variables(sets))
+        before, after = implementation.read_fleet(old, settings), implementation.read_fleet(new, settings)
+    except BadSettings as error:
+        raise CommandError(str(error)) from None
+    change, shares_before, shares_after = (
+        implementation.compare(before, after),
+        implementation.traffic_shares(settings, before),
+        implementation.traffic_shares(settings, after),
+    )
     if as_json:
-        click.echo(ours.as_json(msgspec.to_builtins(found) | {"before": one, "after": other}))
+        click.echo(
+            implementation.format_json(
+                msgspec.to_builtins(change) | {"before": shares_before, "after": shares_after}
+            )
+        )
     else:
-        ours.show_change(Console(soft_wrap=True), found, one, other)
+        implementation.show_change(Console(soft_wrap=True), change, shares_before, shares_after)
 
 
 @fleet.command("status", epilog="Example: stackpitch fleet status -c deploy/gateway.jsonnet")
-@click.option("-c", "--config", type=FILE)
-@SET
-@ADMIN
-@AS_JSON
+@click.option("-c", "--config", type=PATH)
+@SET_OPTION
+@ADMIN_OPTION
+@JSON_OPTION
 def fleet_status(config: Path | None, sets: tuple[str, ...], admin: str | None, as_json: bool) -> None:
-    """Show what a gateway has in force, what it holds back and why; exit 1 if its last list was not taken."""
+    """Show the list in force and lists held back, with reasons; exit 1 if the last list was not accepted."""
     from rich.console import Console
 
-    from stackpitch.cli import fleet as ours
+    from stackpitch.cli import fleet as implementation
 
-    _, status = asked_of(admin_of(config, sets, admin), "GET", "/fleet")
+    _, status = call_admin(admin_address(config, sets, admin), "GET", "/fleet")
     if as_json:
-        click.echo(ours.as_json(status))
+        click.echo(implementation.format_json(status))
     else:
-        ours.show_status(Console(soft_wrap=True), status)
+        implementation.show_status(Console(soft_wrap=True), status)
     sys.exit(1 if status["last"] in ("rejected", "held back") else 0)
 
 
 @fleet.command("history", epilog="Example: stackpitch fleet history -c deploy/gateway.jsonnet")
-@click.option("-c", "--config", type=FILE)
-@SET
-@ADMIN
-@AS_JSON
+@click.option("-c", "--config", type=PATH)
+@SET_OPTION
+@ADMIN_OPTION
+@JSON_OPTION
 def fleet_history(config: Path | None, sets: tuple[str, ...], admin: str | None, as_json: bool) -> None:
-    """Show the lists that a gateway has kept, and those that it did not take."""
+    """Show the lists that a gateway has stored, and those that it did not accept."""
     from rich.console import Console
 
-    from stackpitch.cli import fleet as ours
+    from stackpitch.cli import fleet as implementation
 
-    _, history = asked_of(admin_of(config, sets, admin), "GET", "/fleet/history")
-    click.echo(ours.as_json(history)) if as_json else ours.show_history(Console(soft_wrap=True), history)
+    _, history = call_admin(admin_address(config, sets, admin), "GET", "/fleet/history")
+    click.echo(implementation.format_json(history)) if as_json else implementation.show_history(
+        Console(soft_wrap=True), history
+    )
 
 
-def changed_by(config: Path | None, sets: tuple[str, ...], admin: str | None, target: str) -> None:
-    _, answer = asked_of(admin_of(config, sets, admin), "POST", target)
+def post_change(config: Path | None, sets: tuple[str, ...], admin: str | None, target: str) -> None:
+    """Posts a change of the list in force and prints the new version; exits with 1 if it is rejected."""
+    _, answer = call_admin(admin_address(config, sets, admin), "POST", target)
     if answer["rejected"]:
         click.echo(answer["rejected"], err=True)
         sys.exit(1)
@@ -137,19 +154,19 @@
 
 @fleet.command("confirm", epilog="Example: stackpitch fleet confirm 3fa9 -c deploy/gateway.jsonnet")
 @click.argument("digest")
-@click.option("-c", "--config", type=FILE)
-@SET
-@ADMIN
+@click.option("-c", "--config", type=PATH)
+@SET_OPTION
+@ADMIN_OPTION
 def fleet_confirm(digest: str, config: Path | None, sets: tuple[str, ...], admin: str | None) -> None:
-    """Bring the held list with this digest (its beginning is enough) into force, at once and whole."""
-    changed_by(config, sets, admin, f"/fleet/confirm?digest={digest}")
+    """Put the held-back list with this digest (a prefix is enough) into force at once and completely."""
+    post_change(config, sets, admin, f"/fleet/confirm?digest={digest}")
 
 
 @fleet.command("rollback", epilog="Example: stackpitch fleet rollback -c deploy/gateway.jsonnet")
 @click.argument("digest", default="")
-@click.option("-c", "--config", type=FILE)
-@SET
-@ADMIN
+@click.option("-c", "--config", type=PATH)
+@SET_OPTION
+@ADMIN_OPTION
 def fleet_rollback(digest: str, config: Path | None, sets: tuple[str, ...], admin: str | None) -> None:
-    """Go back to a kept list (the one before, unless a digest says which) until the files change."""
-    changed_by(config, sets, admin, f"/fleet/rollback?digest={digest}")
+    """Return to a stored list (the previous one, unless a digest is given) until the files change."""
+    post_change(config, sets, admin, f"/fleet/rollback?digest={digest}")
--- a/stackpitch/cli/commands/settings.py
+++ b/stackpitch/cli/commands/settings.py
@@ -1,4 +1,4 @@
-"""Checking and showing settings."""
+"""`stackpitch settings`: checks and prints settings and their JSON Schema."""
 
 import json
 import sys
@@ -7,7 +7,7 @@
 import click
 
 from stackpitch import settings as settings_package
-from stackpitch.cli.asking import CONFIG, SET, Asked, given
+from stackpitch.cli.options import CONFIG_OPTION, SET_OPTION, CommandError, parse_variables
 from stackpitch.settings import BadSettings, Fleet, Settings
 
 
@@ -17,32 +17,33 @@
 
 
 @settings.command(epilog="Example: stackpitch settings check -c deploy/gateway.jsonnet")
-@CONFIG
-@SET
+@CONFIG_OPTION
+@SET_OPTION
 def check(config: Path, sets: tuple[str, ...]) -> None:
-    """Check settings, and the fleet's file that they name."""
+    """Check settings and the fleet's file that they name."""
     from stackpitch.membership.bundle import read_bundle
 
-    found = read_bundle(config, given(sets))
-    if found.problems:
-        click.echo("\n".join(found.problems), err=True)
+    bundle = read_bundle(config, parse_variables(sets))
+    if bundle.problems:
+        click.echo("\n".join(bundle.problems), err=True)
         sys.exit(1)
-    read = settings_package.read(Settings, config, given(sets))
+    gateway_settings = settings_package.read(Settings, config, parse_variables(sets))
     click.echo(
-        f"{config}: good; {len(read.products)} products, {len(read.customers)} customers; "
-        f"{read.roster}: version {found.version}, {len(found.entries)} servers; {found.guards} guards hold"
+        f"{config}: good; {len(gateway_settings.products)} products, {len(gateway_settings.customers)} customers; "
+        f"{gateway_settings.roster}: version {bundle.version}, {len(bundle.entries)} servers; "
+        f"{bundle.guards} guards hold"
     )
 
 
 @settings.command(epilog="Example: stackpitch settings show -c deploy/gateway.jsonnet")
-@CONFIG
-@SET
+@CONFIG_OPTION
+@SET_OPTION
 def show(config: Path, sets: tuple[str, ...]) -> None:
-    """Print settings as evaluated, with all defaults."""
+    """Print the evaluated settings, with all defaults."""
     try:
-        click.echo(settings_package.read(Settings, config, given(sets)).model_dump_json(indent=2))
-    except BadSettings as wrong:
-        raise Asked(str(wrong)) from None
+        click.echo(settings_package.read(Settings, config, parse_variables(sets)).model_dump_json(indent=2))
+    except BadSettings as error:
+        raise CommandError(str(error)) from None
 
 
 @settings.command(epilog="Example: stackpitch settings schema fleet")
--- a/stackpitch/cli/expect.py
+++ b/stackpitch/cli/expect.py
@@ -1,4 +1,7 @@
-"""`stackpitch expect`: statements tried against configurations, without a process listening."""
+"""`stackpitch expect`: evaluates statements (*.expect files) against configurations in a dry run.
+
+Nothing listens and no request is sent.
+"""
 
 import json
 import sys
@@ -25,182 +28,211 @@
 from stackpitch.membership.bundle import validate_fleet
 from stackpitch.settings import Fleet, Settings
 
-SAMPLED = 24  # servers of which a change is tried, unless told otherwise
-WORTH_SHARING = 2000  # statements times servers from which further processes are worth their start
-GLANCE = 300 * MS  # how often `--watch` looks at the files
+# Servers whose entries `--mutations` changes, unless `--servers` sets another number.
+DEFAULT_MUTATED_SERVERS = 24
+# Statements times servers; below it, starting worker processes takes longer than they save.
+MIN_PARALLEL_WORK = 2000
+WATCH_INTERVAL = 300 * MS  # between two checks of the files with `--watch`
 
 
 @dataclass(frozen=True, slots=True)
-class Given:
-    """A configuration as read."""
+class Configuration:
+    """Settings and the fleet's file, both validated."""
 
     settings: Settings
     fleet: Fleet
 
     def deployment(self) -> Deployment:
+        """The fleet as statements see it."""
         return deployment(self.settings, self.fleet)
 
 
-def configuration(config: Path, sets: dict[str, str], fleet: Path | None) -> Given:
-    """Raises BadSettings. The fleet's file is the one that the settings name unless another is given."""
+def read_configuration(config: Path, sets: dict[str, str], fleet: Path | None) -> Configuration:
+    """Reads and validates settings and a fleet's file: `fleet`, or else the file that the settings name.
+
+    A relative path in the settings is looked up in the working directory, then beside the settings file.
+    Raises BadSettings.
+    """
     settings = settings_package.read(Settings, config, sets)
     path = fleet if fleet is not None else Path(settings.roster)
     if fleet is None and not path.is_absolute() and not path.exists():
         path = config.parent / path
-    listed = settings_package.read(Fleet, path)
-    if wrong := validate_fleet(listed, settings):
-        raise settings_package.BadSettings("\n".join(f"{path}: {one}" for one in wrong))
-    return Given(settings, listed)
+    servers = settings_package.read(Fleet, path)
+    if problems := validate_fleet(servers, settings):
+        raise settings_package.BadSettings("\n".join(f"{path}: {problem}" for problem in problems))
+    return Configuration(settings, servers)
 
 
-def books(files: tuple[Path, ...]) -> Book:
-    """Raises BadStatement. A folder stands for all *.expect files in it."""
+def read_book(files: tuple[Path, ...]) -> Book:
+    """Parses *.expect files; a folder stands for all of them below it. Raises BadStatement."""
     paths: list[Path] = []
-    for one in files:
-        paths += sorted(one.rglob("*.expect")) if one.is_dir() else [one]
+    for file in files:
+        paths += sorted(file.rglob("*.expect")) if file.is_dir() else [file]
     if not paths:
         raise BadStatement(f"{', '.join(map(str, files))}: no *.expect file")
     return Book([read_page(path) for path in paths])
 
 
-def _some(book: Book, given: Given, draws: int, names: list[str]) -> tuple[list[Verdict], Touched]:
-    judge = Judge(book, given.deployment(), draws)
+def _evaluate_names(
+    book: Book, configuration: Configuration, draws: int, names: list[str]
+) -> tuple[list[Verdict], Touched]:
+    judge = Judge(book, configuration.deployment(), draws)
     return list(judge.all(names)), judge.touched
 
 
-def run(
-    book: Book, given: Given, draws: int, only: tuple[str, ...], jobs: int
+def evaluate(
+    book: Book, configuration: Configuration, draws: int, only: tuple[str, ...], jobs: int
 ) -> tuple[Judge, list[Verdict]]:
-    """All verdicts in the book's order; statements are dealt out to `jobs` processes, each of them stands alone."""
+    """The judge, and all verdicts in the book's order (or that of `only`).
+
+    Statements are independent: those of large books are divided among `jobs` processes. Raises BadStatement.
+    """
     for name in only:
         if name not in book.statements:
-            raise BadStatement(f'no statement "{name}"; there are: {", ".join(list(book.statements)[:20])}')
-    judge, names = Judge(book, given.deployment(), draws), list(only) or list(book.statements)
-    if jobs < 2 or len(names) * len(given.fleet.servers) < WORTH_SHARING:
+            raise BadStatement(
+                f'no statement is named "{name}"; defined: {", ".join(list(book.statements)[:20])}'
+            )
+    judge, names = Judge(book, configuration.deployment(), draws), list(only) or list(book.statements)
+    if jobs < 2 or len(names) * len(configuration.fleet.servers) < MIN_PARALLEL_WORK:
         return judge, list(judge.all(names))
-    parts = [names[start :: jobs * 4] for start in range(min(len(names), jobs * 4))]
-    found: dict[str, Verdict] = {}
+    chunks = [names[start :: jobs * 4] for start in range(min(len(names), jobs * 4))]
+    verdicts_by_name: dict[str, Verdict] = {}
     with ProcessPoolExecutor(jobs) as pool:
-        for verdicts, touched in pool.map(partial(_some, book, given, draws), parts):
-            found |= {one.statement.name: one for one in verdicts}
+        for verdicts, touched in pool.map(partial(_evaluate_names, book, configuration, draws), chunks):
+            verdicts_by_name |= {verdict.statement.name: verdict for verdict in verdicts}
             judge.touched.add(touched)
-    return judge, [found[name] for name in names]
+    return judge, [verdicts_by_name[name] for name in names]
 
 
 def show(console: Console, judge: Judge, verdicts: list[Verdict], causes: int) -> None:
-    """Those that do not hold, with what the first few hang on; then one line."""
-    colours = {"holds": "green", "fails": "red", "vacuous": "yellow", "can't apply": "magenta"}
-    told = 0
-    for one in verdicts:
-        if one.passed:
+    """Prints the statements that don't hold, the causes of the first `causes` failures, and the totals."""
+    colors = {"holds": "green", "fails": "red", "vacuous": "yellow", "can't apply": "magenta"}
+    explained = 0
+    for verdict in verdicts:
+        if verdict.passed:
             continue
-        guard = " (guard)" if one.statement.guard else ""
+        guard = " (guard)" if verdict.statement.guard else ""
         console.print(
-            f"[{colours[one.word()]}]{one.word()}[/]{guard}: [bold]{escape(one.statement.name)}[/]  "
-            f"[dim]{one.file}:{one.statement.line}[/]",
+            f"[{colors[verdict.word()]}]{verdict.word()}[/]{guard}: [bold]{escape(verdict.statement.name)}[/]  "
+            f"[dim]{verdict.file}:{verdict.statement.line}[/]",
             highlight=False,
         )
-        console.print(f"  {escape(one.why())}", highlight=False)
-        if told < causes and one.word() == "fails":
-            told += 1
-            for line in report.cause(judge, one.statement.name):
+        console.print(f"  {escape(verdict.why())}", highlight=False)
+        if explained < causes and verdict.word() == "fails":
+            explained += 1
+            for line in report.cause(judge, verdict.statement.name):
                 console.print(f"  {escape(line)}", highlight=False)
-    for one_name, other, text in judge.book.contradictions(judge.sets):
-        both = f'"{one_name}" and "{other}"' if one_name != other else f'"{one_name}" and itself'
+    for name, other, text in judge.book.contradictions(judge.sets):
+        both = f'"{name}" and "{other}"' if name != other else f'"{name}" and itself'
         console.print(f"[yellow]contradict each other[/]: {escape(both)}: {escape(text)}", highlight=False)
-    counts = Counter(one.word() for one in verdicts)
+    counts = Counter(verdict.word() for verdict in verdicts)
     console.print(
-        ", ".join(f"{counts[word]} {word}" for word in colours if counts[word]) or "no statement",
+        ", ".join(f"{counts[word]} {word}" for word in colors if counts[word]) or "no statement",
         highlight=False,
     )
 
 
 def coverage(console: Console, book: Book, judge: Judge) -> None:
+    """Prints the parts of the configuration that no statement touches."""
     table = Table(title="What no statement touches", title_justify="left")
     table.add_column("")
     table.add_column("")
-    for subject, left in watchlist.untouched(book, judge.of, judge).items():
-        more = f" and {len(left) - 12} more" if len(left) > 12 else ""
-        table.add_row(subject, escape(", ".join(left[:12])) + more if left else "[green]none[/]")
+    for subject, items in watchlist.untouched(book, judge.of, judge).items():
+        omitted = f" and {len(items) - 12} more" if len(items) > 12 else ""
+        table.add_row(subject, escape(", ".join(items[:12])) + omitted if items else "[green]none[/]")
     console.print(table)
 
 
-def _noticed(book: Book, before: dict[str, str], order: list[str], mutation: mutate.Mutation) -> str | None:
+def _detecting_statement(
+    book: Book, before: dict[str, str], order: list[str], mutation: mutate.Mutation
+) -> str | None:
     return mutate.noticed_by(book, mutation, before, order)
 
 
-def mutations(console: Console, book: Book, given: Given, most: int, as_json: bool, jobs: int) -> float:
-    """Shows the changes that no statement notices; gives the share that is noticed."""
-    before = mutate.words(book, given.settings, given.fleet)
-    changes = list(mutate.mutations(given.settings, given.fleet, most))
+def mutations(
+    console: Console, book: Book, configuration: Configuration, max_servers: int, as_json: bool, jobs: int
+) -> float:
+    """Changes one setting at a time; prints the undetected changes and returns the share detected.
+
+    Entries of at most `max_servers` servers are changed.
+    """
+    before = mutate.words(book, configuration.settings, configuration.fleet)
+    changes = list(mutate.mutations(configuration.settings, configuration.fleet, max_servers))
     with ProcessPoolExecutor(jobs) as pool:
-        found = list(pool.map(partial(_noticed, book, before, list(before)), changes, chunksize=4))
-    noticed = sum(one is not None for one in found)
-    share = noticed / max(1, len(changes))
+        detected_by = list(
+            pool.map(partial(_detecting_statement, book, before, list(before)), changes, chunksize=4)
+        )
+    detected = sum(statement is not None for statement in detected_by)
+    share = detected / max(1, len(changes))
     if as_json:
         click.echo(
             json.dumps(
                 {
                     "changes": len(changes),
-                    "noticed": noticed,
+                    "noticed": detected,
                     "share": round(share, 4),
-                    "unnoticed": [one.text for one, by in zip(changes, found) if by is None],
+                    "unnoticed": [
+                        change.text for change, statement in zip(changes, detected_by) if statement is None
+                    ],
                 },
                 indent=2,
             )
         )
         return share
     table = Table(
-        title=f"{noticed} of {len(changes)} changes noticed ({share:.0%}); these are not",
+        title=f"{detected} of {len(changes)} changes noticed ({share:.0%}); these are not",
         title_justify="left",
     )
     table.add_column("what")
     table.add_column("change")
-    for one, by in zip(changes, found):
-        if by is None:
-            table.add_row(one.kind, escape(one.text))
+    for change, statement in zip(changes, detected_by):
+        if statement is None:
+            table.add_row(change.kind, escape(change.text))
     console.print(table)
     return share
 
 
-def watch(files: tuple[Path, ...], more: list[Path], once: partial[None]) -> None:
-    """Runs again whenever one of the files has changed, until it is interrupted."""
+def watch(files: tuple[Path, ...], extra_paths: list[Path], once: partial[None]) -> None:
+    """Calls `once` whenever one of the files has changed, until it is interrupted by Ctrl-C."""
     world = RealWorld()
 
-    def seen() -> dict[Path, tuple[int, int]]:
-        found = {}
-        for one in [*files, *more]:
-            for path in sorted(one.rglob("*.expect")) if one.is_dir() else [one]:
+    def scan() -> dict[Path, tuple[int, int]]:
+        states = {}
+        for file in [*files, *extra_paths]:
+            for path in sorted(file.rglob("*.expect")) if file.is_dir() else [file]:
                 try:
-                    about = path.stat()
+                    status = path.stat()
                 except OSError:
-                    continue  # being replaced
-                found[path] = about.st_mtime_ns, about.st_size
-        return found
+                    continue  # the file is being replaced
+                states[path] = status.st_mtime_ns, status.st_size
+        return states
 
-    def look() -> Coro[None]:
-        last: dict[Path, tuple[int, int]] = {}
+    def poll() -> Coro[None]:
+        previous: dict[Path, tuple[int, int]] = {}
         while True:
-            now = seen()
-            if now != last:
-                last = now
+            current = scan()
+            if current != previous:
+                previous = current
                 click.clear()
                 try:
                     once()
-                except (BadStatement, settings_package.BadSettings) as wrong:
-                    click.echo(str(wrong), err=True)
-            yield from world.sleep(GLANCE)
+                except (BadStatement, settings_package.BadSettings) as error:
+                    click.echo(str(error), err=True)
+            yield from world.sleep(WATCH_INTERVAL)
 
     try:
-        world.run(look())
+        world.run(poll())
     except KeyboardInterrupt:
         pass
 
 
 def formatted(files: tuple[Path, ...], check: bool) -> Iterator[Path]:
-    """Writes each file in its one form (only if that changes it, and not at all with `check`); gives those changed."""
-    for one in files:
-        for path in sorted(one.rglob("*.expect")) if one.is_dir() else [one]:
+    """Rewrites files in the canonical layout, or only compares them (`check`); yields those that differ.
+
+    Raises BadStatement.
+    """
+    for file in files:
+        for path in sorted(file.rglob("*.expect")) if file.is_dir() else [file]:
             page = read_page(path)
             text = layout(page)
             if text != path.read_text(encoding="utf-8"):
@@ -220,22 +252,29 @@
     explain: tuple[str, ...],
     as_json: bool,
     junit: Path | None,
-    cover: bool,
+    with_coverage: bool,
     jobs: int,
 ) -> bool:
-    """One run over all statements; whether all hold and none contradict. Raises BadStatement and BadSettings."""
+    """Evaluates and prints all statements; returns whether all hold and none contradict each other.
+
+    Raises BadStatement and BadSettings.
+    """
     console = Console(soft_wrap=True)
-    book = books(files)
-    judge, verdicts = run(
-        book, configuration(config, sets, fleet), draws, tuple(dict.fromkeys((*only, *explain))), jobs
+    book = read_book(files)
+    judge, verdicts = evaluate(
+        book, read_configuration(config, sets, fleet), draws, tuple(dict.fromkeys((*only, *explain))), jobs
     )
     clashes = book.contradictions(judge.sets)
     if junit is not None:
         junit.write_text(report.as_junit(verdicts), encoding="utf-8")
     tree = report.as_json(verdicts, clashes)
     if against is not None:
-        _, before = run(
-            book, configuration(against, sets, None), draws, tuple(dict.fromkeys((*only, *explain))), jobs
+        _, before = evaluate(
+            book,
+            read_configuration(against, sets, None),
+            draws,
+            tuple(dict.fromkeys((*only, *explain))),
+            jobs,
         )
         changed = report.differences(before, verdicts)
         tree["differs"] = [
@@ -248,13 +287,13 @@
             console.print(
                 f"{len(changed)} of {len(verdicts)} statements differ from {against}", highlight=False
             )
-    if cover:
+    if with_coverage:
         tree["untouched"] = watchlist.untouched(book, judge.of, judge)
     if as_json:
         click.echo(json.dumps(tree, indent=2))
     else:
         for name in explain:
-            verdict = next(one for one in verdicts if one.statement.name == name)
+            verdict = next(candidate for candidate in verdicts if candidate.statement.name == name)
             console.print(f"[bold]{escape(name)}[/]: {verdict.word()}", highlight=False)
             for _, line in verdict.statement.lines():
                 console.print(f"  {escape(line)}", highlight=False)
@@ -263,9 +302,9 @@
             for line in report.story(judge, name, verdict):
                 console.print(escape(line), highlight=False)
         show(console, judge, verdicts, causes=3)
-        if cover:
+        if with_coverage:
             coverage(console, book, judge)
-    return all(one.passed for one in verdicts) and not clashes
+    return all(candidate.passed for candidate in verdicts) and not clashes
 
 
 def main(
@@ -279,28 +318,33 @@
     explain: tuple[str, ...],
     as_json: bool,
     junit: Path | None,
-    cover: bool,
-    mutate_it: bool,
-    most: int | None,
-    watching: bool,
+    with_coverage: bool,
+    mutation_test: bool,
+    max_servers: int | None,
+    watch_files: bool,
     jobs: int,
 ) -> int:
-    """Exit code. Raises BadStatement and BadSettings."""
-    if mutate_it:
-        given = configuration(config, sets, fleet)
+    """Runs the command and returns its exit code. Raises BadStatement and BadSettings."""
+    if mutation_test:
+        configuration = read_configuration(config, sets, fleet)
         mutations(
-            Console(soft_wrap=True), books(files), given, SAMPLED if most is None else most, as_json, jobs
+            Console(soft_wrap=True),
+            read_book(files),
+            configuration,
+            DEFAULT_MUTATED_SERVERS if max_servers is None else max_servers,
+            as_json,
+            jobs,
         )
         return 0
-    again = partial(
-        once, files, config, sets, fleet, draws, only, against, explain, as_json, junit, cover, jobs
+    run = partial(
+        once, files, config, sets, fleet, draws, only, against, explain, as_json, junit, with_coverage, jobs
     )
-    if watching:
-        watch(files, [config, *([fleet] if fleet else [])], partial(_ignore, again))
+    if watch_files:
+        watch(files, [config, *([fleet] if fleet else [])], partial(_run_and_flush, run))
         return 0
-    return 0 if again() else 1
+    return 0 if run() else 1
 
 
-def _ignore(call: "partial[bool]") -> None:
+def _run_and_flush(call: "partial[bool]") -> None:
     call()
     sys.stdout.flush()
--- a/stackpitch/cli/main.py
+++ b/stackpitch/cli/main.py
@@ -1,4 +1,8 @@
-"""`stackpitch COMMAND`. Exit 0: done and good; 1: done and not good; 2: asked wrongly, with one plain line."""
+"""The root command, `stackpitch COMMAND`.
+
+Exit codes: 0: success; 1: the command ran and its check or request failed; 2: wrong usage or invalid input,
+reported on standard error.
+"""
 
 import click
 
@@ -7,7 +11,7 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """A router for serving language models with reading and writing on separate engines."""
+    """Route LLM requests to engines that run prefill (reading) and decode (writing) separately."""
 
 
 for command in ALL:
--- a/stackpitch/cli/seeds.py
+++ b/stackpitch/cli/seeds.py
@@ -1,4 +1,4 @@
-"""One day with many seeds, in made-up time, as many at once as there are processors."""
+"""`stackpitch rehearse --seeds`: one scenario with many seeds in virtual time, in parallel processes."""
 
 import json
 import os
@@ -18,46 +18,46 @@
 from stackpitch.rehearse.virtual import play
 
 
-def one(day: Path, given: Mapping[str, str], seed: int) -> dict[str, Any]:
-    """What a seed gave; `error` if the day could not be played to its end."""
+def run_seed(day: Path, variables: Mapping[str, str], seed: int) -> dict[str, Any]:
+    """The outcome of one seed as JSON values; `error` is empty if the scenario ran to its end."""
     try:
-        read = settings_package.read(Day, day, {**given, "seed": str(seed)})
-        return {"seed": seed, "error": "", **play(read, None, lambda text: None).as_json()}
-    except settings_package.BadSettings as wrong:
-        return {"seed": seed, "error": str(wrong)}
-    except Exception as wrong:  # what a seed finds must not hide what the others do
-        return {"seed": seed, "error": f"{type(wrong).__name__}: {wrong}"}
+        scenario = settings_package.read(Day, day, {**variables, "seed": str(seed)})
+        return {"seed": seed, "error": "", **play(scenario, None, lambda text: None).as_json()}
+    except settings_package.BadSettings as error:
+        return {"seed": seed, "error": str(error)}
+    except Exception as error:  # a seed that crashes must not hide the results of the others
+        return {"seed": seed, "error": f"{type(error).__name__}: {error}"}
 
 
-def search(day: Path, given: Mapping[str, str], seeds: range, as_json: bool) -> int:
-    """Exit code: 1 if a seed broke a rule or could not be played."""
+def search(day: Path, variables: Mapping[str, str], seeds: range, as_json: bool) -> int:
+    """Runs all seeds and prints the results. Exit code: 1 if a seed broke a rule or could not be run."""
     with ProcessPoolExecutor(len(os.sched_getaffinity(0))) as pool:
-        found = list(pool.map(partial(one, day, given), seeds))
-    bad = [told for told in found if told["error"] or not told["kept"]]
+        results = list(pool.map(partial(run_seed, day, variables), seeds))
+    failures = [result for result in results if result["error"] or not result["kept"]]
     if as_json:
-        click.echo(json.dumps(found, indent=2))
-        return 1 if bad else 0
+        click.echo(json.dumps(results, indent=2))
+        return 1 if failures else 0
     console = Console(width=140)
     table = Table()
     for column in ("seed", "kept", "G", "generations", "legs a generation", "breaches"):
         table.add_column(column, justify="left" if column == "breaches" else "right")
-    for told in found:
-        if told["error"]:
-            table.add_row(str(told["seed"]), "no", "", "", "", escape(told["error"][:200]))
+    for result in results:
+        if result["error"]:
+            table.add_row(str(result["seed"]), "no", "", "", "", escape(result["error"][:200]))
         else:
             table.add_row(
-                str(told["seed"]),
-                "yes" if told["kept"] else "[red]no[/]",
-                f"{told['g']:.3f}",
-                str(told["generations"]),
-                f"{told['legs_per_generation']:.2f}",
-                escape("; ".join(breach["text"] for breach in told["breaches"][:3])),
+                str(result["seed"]),
+                "yes" if result["kept"] else "[red]no[/]",
+                f"{result['g']:.3f}",
+                str(result["generations"]),
+                f"{result['legs_per_generation']:.2f}",
+                escape("; ".join(breach["text"] for breach in result["breaches"][:3])),
             )
     console.print(table)
-    worth = [told["g"] for told in found if not told["error"]]
+    revenue_shares = [result["g"] for result in results if not result["error"]]
     console.print(
-        f"{len(found) - len(bad)} of {len(found)} seeds kept all rules; G {min(worth, default=0):.3f} to "
-        f"{max(worth, default=0):.3f}",
+        f"{len(results) - len(failures)} of {len(results)} seeds kept all rules; "
+        f"G {min(revenue_shares, default=0):.3f} to {max(revenue_shares, default=0):.3f}",
         highlight=False,
     )
-    return 1 if bad else 0
+    return 1 if failures else 0
--- a/tests/test_expect.py
+++ b/tests/test_expect.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from stackpitch.brain import Brain, Dispatcher
-from stackpitch.cli.expect import books, configuration
+from stackpitch.cli.expect import read_book, read_configuration
 from stackpitch.expect import mutate, report
 from stackpitch.expect import syntax as s
 from stackpitch.expect.book import Book
@@ -32,7 +32,7 @@
 
 
 def read(name):
-    return configuration(SETS / name / "gateway.jsonnet", {}, None), books(
+    return read_configuration(SETS / name / "gateway.jsonnet", {}, None), read_book(
         (SETS / "common.expect", SETS / name)
     )
 
@@ -504,7 +504,7 @@
     path.write_bytes(HOSTILE[name])
     begun = time.monotonic()
     with pytest.raises(BadStatement) as wrong:
-        books((path,))
+        read_book((path,))
     took = time.monotonic() - begun
     assert took < 1 and "\n" not in str(wrong.value) and len(str(wrong.value)) < 900
 
