--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -290,10 +290,10 @@
     def __init__(self, world: World, size: int, times: int) -> None:
         self.world, self.size, self.times, self.took = world, size, times, list[float]()
 
-    def own(self, tenure: OwnTenure, value: bytes) -> Coro[None]:
+    def run_as_owner(self, tenure: OwnTenure, value: bytes) -> Coro[None]:
         for number in range(self.times):
             begun = self.world.now()
-            yield from tenure.keep(bytes([number % 256]) * self.size)
+            yield from tenure.write_record(bytes([number % 256]) * self.size)
             self.took.append((self.world.now() - begun) / 10)
 
     def serve(self) -> Coro[None]:
--- a/stackpitch/duties/calls.py
+++ b/stackpitch/duties/calls.py
@@ -1,28 +1,31 @@
-"""The forms of what goes between gateways: `POST /duty` on the admin port, JSON both ways.
+"""Messages between gateways about coordinated tasks ("duties"): `POST /duty` on the admin port, JSON.
 
-Every call names its fleet, its form, who sends it and whom it is for, so that one that has gone astray is dropped and
-counted. What acts for a duty carries the term under which it is done, and the start of the process that holds the term.
+Every call names its fleet, format version, sender and receiver, so that a misdirected one is dropped and
+counted. A call that acts for a duty carries a stamp: the term under which it acts and the start of the
+process that holds the term.
 """
 
 from typing import Any
 
 import msgspec
 
-FORM = 2  # raised when a form below changes its meaning
-# The ground's own kinds. A work's must have other names: a voter that took one for its own would let go of the lease.
-GROUND = frozenset({"would", "lease", "release", "read", "write", "state", "vacant", "owner"})
-LARGEST = 512 * 1024  # bytes of a call or an answer: a record's bound as base64, and its frame
+FORMAT_VERSION = 2  # raised when a message below changes its meaning
+# Kinds of calls that belong to leases and records. Those of a duty's work must have other names: a voter that
+# took one for its own would release the lease.
+RESERVED_KINDS = frozenset({"would", "lease", "release", "read", "write", "state", "vacant", "owner"})
+# Of a call or an answer: the largest record value (256 KiB) as base64, and the other fields.
+MAX_MESSAGE_BYTES = 512 * 1024
 
 
 class Stamp(msgspec.Struct, frozen=True, order=True):
-    """Who acts: a term, and which start of its owner's process. Compared by term first."""
+    """Identifies an owner: a term, and which start of its process holds it. Compared by term first."""
 
     term: int = 0
     start: int = 0
 
 
 class Call(msgspec.Struct, frozen=True):
-    """`kind` says what is asked for; `stamp` under which term; `body` is the kind's own."""
+    """A request of a `kind`, under the term in `stamp`; the fields of the JSON `body` depend on the kind."""
 
     form: int
     fleet: str
@@ -35,7 +38,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """`word`: "yes", or why not; `stamp`: the highest that the answering side knows for the duty."""
+    """`word`: "yes" or the reason of a refusal; `stamp`: the highest that the sender knows for the duty."""
 
     word: str
     stamp: Stamp = Stamp()
@@ -43,12 +46,14 @@
 
     @property
     def yes(self) -> bool:
+        """Whether the call was accepted."""
         return self.word == "yes"
 
 
 ENCODER = msgspec.json.Encoder()
-CALL, ANSWER = msgspec.json.Decoder(Call), msgspec.json.Decoder(Answer)
+CALL_DECODER, ANSWER_DECODER = msgspec.json.Decoder(Call), msgspec.json.Decoder(Answer)
 
 
-def raw(value: Any) -> msgspec.Raw:
+def encode_body(value: Any) -> msgspec.Raw:
+    """A call's or an answer's body."""
     return msgspec.Raw(ENCODER.encode(value))
--- a/stackpitch/duties/carrier/desk.py
+++ b/stackpitch/duties/carrier/desk.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from stackpitch.duties.calls import CALL, ENCODER, FORM, Answer, Call, raw
+from stackpitch.duties.calls import CALL_DECODER, ENCODER, FORMAT_VERSION, Answer, Call, encode_body
 from stackpitch.duties.carrier.figures import Figures
 from stackpitch.duties.carrier.owning import Owning
 from stackpitch.duties.carrier.voting import KINDS, Voting
@@ -29,7 +29,7 @@
     def take(self, body: bytes) -> Coro[tuple[int, bytes]]:
         """`POST /duty`: status and answer."""
         try:
-            call = CALL.decode(body)
+            call = CALL_DECODER.decode(body)
             if (wrong := self._astray(call)) is None:
                 return 200, ENCODER.encode((yield from self.heard(call)))
         except msgspec.DecodeError:
@@ -42,9 +42,10 @@
 
     def _astray(self, call: Call) -> str | None:
         figures = self.figures
-        if call.form != FORM:
+        if call.form != FORMAT_VERSION:
             return (
-                f"form {call.form}, this side has {FORM}: update the {'receiver' if call.form > FORM else 'sender'}"
+                f"form {call.form}, this side has {FORMAT_VERSION}: "
+                f"update the {'receiver' if call.form > FORMAT_VERSION else 'sender'}"
                 if (0 < call.form < 1 << 16)
                 else "malformed"
             )
@@ -95,8 +96,8 @@
             self.owners[call.duty] = terms.owner_of(call.stamp.term)
             if call.kind == "owner":
                 work = self.works.get(call.duty)
-                return Answer("yes", call.stamp, raw(work.present() if work is not None else None))
+                return Answer("yes", call.stamp, encode_body(work.present() if work is not None else None))
         work = self.works.get(call.duty)
         if work is None:
             return Answer("no such work")
-        return (yield from work.heard(call.sender, call.kind, call.stamp, call.body))
+        return (yield from work.handle_call(call.sender, call.kind, call.stamp, call.body))
--- a/stackpitch/duties/carrier/duties.py
+++ b/stackpitch/duties/carrier/duties.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from stackpitch.duties.calls import LARGEST, Answer
+from stackpitch.duties.calls import MAX_MESSAGE_BYTES, Answer
 from stackpitch.duties.carrier.desk import Desk
 from stackpitch.duties.carrier.figures import Figures
 from stackpitch.duties.carrier.learning import learn
@@ -17,10 +17,10 @@
 
 
 class Duties:
-    """Also the works' `Ground`. `works`: those that this gateway has, by name; a duty without one is owned all the same,
+    """Also the works' `DutyHost`. `works`: those that this gateway has, by name; a duty without one is owned all the same,
     and keeps an empty record."""
 
-    LARGEST = LARGEST
+    LARGEST = MAX_MESSAGE_BYTES
 
     def __init__(self, world: World, log: Any, figures: Figures, works: Iterable[Work] = ()) -> None:
         self.world, self.log, self.figures = world, log, figures
--- a/stackpitch/duties/carrier/owning.py
+++ b/stackpitch/duties/carrier/owning.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from stackpitch.duties.calls import Answer, Call, Stamp, raw
+from stackpitch.duties.calls import Answer, Call, Stamp, encode_body
 from stackpitch.duties.carrier.announcing import announce
 from stackpitch.duties.carrier.figures import Figures
 from stackpitch.duties.carrier.posts import Posts
@@ -80,7 +80,7 @@
             )
 
         body = (
-            raw(Lease(self.figures.lease, asked.renewal, self.serials))
+            encode_body(Lease(self.figures.lease, asked.renewal, self.serials))
             if asked.kind in ("would", "lease")
             else None
         )
@@ -146,11 +146,11 @@
             duty=self.duty,
             term=terms.text(stamp.term),
             bytes=len(value),
-            version=tenure.keeping.kept.version,
+            version=tenure.keeping.current.version,
         )
         group.spawn(announce(self.world, self.figures, tenure, self.work), f"announce {self.duty}")
         if self.work is not None:
-            yield from self.work.own(tenure, value)
+            yield from self.work.run_as_owner(tenure, value)
 
     def _renew(self, stamp: Stamp) -> Coro[None]:
         while True:
--- a/stackpitch/duties/carrier/posts.py
+++ b/stackpitch/duties/carrier/posts.py
@@ -6,7 +6,16 @@
 
 import msgspec
 
-from stackpitch.duties.calls import ANSWER, ENCODER, FORM, LARGEST, Answer, Call, Stamp, raw
+from stackpitch.duties.calls import (
+    ANSWER_DECODER,
+    ENCODER,
+    FORMAT_VERSION,
+    MAX_MESSAGE_BYTES,
+    Answer,
+    Call,
+    Stamp,
+    encode_body,
+)
 from stackpitch.duties.carrier.figures import Figures
 from stackpitch.exchange import request_once
 from stackpitch.loop import Coro, Semaphore, World
@@ -35,14 +44,14 @@
         """None if no answer came in time. `look`: taken right before the call leaves; False: it does not leave."""
         figures = self.figures
         call = Call(
-            FORM,
+            FORMAT_VERSION,
             figures.fleet,
             figures.number,
             number,
             duty,
             kind,
             stamp,
-            body if isinstance(body, msgspec.Raw) else raw(body),
+            body if isinstance(body, msgspec.Raw) else encode_body(body),
         )
         if number == figures.number:
             return (yield from self.here(call)) if look() else None
@@ -54,14 +63,14 @@
             if not look():
                 return None
             reader = yield from request_once(
-                self.world, figures.addresses[number], figures.call, request, LARGEST
+                self.world, figures.addresses[number], figures.call, request, MAX_MESSAGE_BYTES
             )
         finally:
             self.turns.release()
         answer = None
         if reader is not None and reader.status == 200:
             try:
-                answer = ANSWER.decode(b"".join(reader.pieces))
+                answer = ANSWER_DECODER.decode(b"".join(reader.pieces))
             except msgspec.DecodeError:
                 pass
         self.counts[kind, "lost" if answer is None else "yes" if answer.yes else "no"] += 1
--- a/stackpitch/duties/carrier/tenure.py
+++ b/stackpitch/duties/carrier/tenure.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from stackpitch.duties.calls import GROUND, Answer, Stamp, raw
+from stackpitch.duties.calls import RESERVED_KINDS, Answer, Stamp, encode_body
 from stackpitch.duties.carrier.figures import Figures
 from stackpitch.duties.carrier.posts import Posts
 from stackpitch.duties.ownership import terms
@@ -11,8 +11,8 @@
 from stackpitch.duties.ownership.errors import SteppedDown
 from stackpitch.duties.ownership.pacing import ROUND
 from stackpitch.duties.ownership.rounds import Round
+from stackpitch.duties.record.client import RecordClient
 from stackpitch.duties.record.errors import RecordLost
-from stackpitch.duties.record.keeping import Keeping
 from stackpitch.loop import Coro, Group, World
 
 
@@ -32,7 +32,7 @@
     ) -> None:
         self.world, self.group, self.figures, self.duty, self.stamp = world, group, figures, duty, stamp
         self.posts, self.candidate, self.step_down = posts, candidate, step_down
-        self.keeping = Keeping(duty, stamp, figures.voters)
+        self.keeping = RecordClient(duty, stamp, figures.voters)
 
     def holds(self) -> bool:
         return self.candidate.stamp == self.stamp and self.candidate.holds(self.world.now())
@@ -50,25 +50,27 @@
     def begin(self, known: Stamp) -> Coro[bytes]:
         """Reads a majority's record and writes the newest back under our term. `known`: the newest stamp that was seen
         in service here. Raises SteppedDown, RecordLost."""
-        asked = yield from self._won(lambda: self.keeping.read(self.world.now()), None)
-        self.keeping.found(asked)
-        lost = not self.keeping.kept.stamp.term and terms.generation_of(known.term) == self.figures.generation
+        asked = yield from self._won(lambda: self.keeping.read_round(self.world.now()), None)
+        self.keeping.finish_read(asked)
+        lost = (
+            not self.keeping.current.stamp.term and terms.generation_of(known.term) == self.figures.generation
+        )
         if lost and known.term and known != self.stamp:
             raise RecordLost(self.duty, terms.text(known.term))
         yield from self._write()
-        return self.keeping.kept.value
+        return self.keeping.current.value
 
-    def keep(self, value: bytes) -> Coro[None]:
+    def write_record(self, value: bytes) -> Coro[None]:
         """Raises SteppedDown, RecordTooLarge."""
-        self.keeping.want(value)
+        self.keeping.set_pending(value)
         yield from self._write()
 
     def _write(self) -> Coro[None]:
-        wanted = self.keeping.wanted
+        wanted = self.keeping.pending
         assert wanted is not None, "only after a value was found or wanted"
-        body = raw(wanted)
+        body = encode_body(wanted)
         yield from self._won(lambda: Round("write", self.stamp, self.world.now(), self.figures.voters), body)
-        self.keeping.written(wanted)
+        self.keeping.finish_write(wanted)
 
     def _won(self, make: Callable[[], Round], body: Any) -> Coro[Round]:
         """Asks all voters until a majority says yes to one round. Raises SteppedDown."""
@@ -96,10 +98,10 @@
         while not asked.won and not asked.lost and len(asked.yes) + len(asked.no) < len(asked.voters):
             yield
 
-    def tell(self, number: int, kind: str, body: Any) -> Coro[Answer | None]:
-        if kind in GROUND:
+    def send_call(self, number: int, kind: str, body: Any) -> Coro[Answer | None]:
+        if kind in RESERVED_KINDS:
             raise ValueError(
-                f"a work's call of kind {kind!r}; allowed: any but the ground's own, {', '.join(sorted(GROUND))}"
+                f"a work's call of kind {kind!r}; allowed: any but the reserved kinds, {', '.join(sorted(RESERVED_KINDS))}"
             )
         return (yield from self.effect(number, kind, body))
 
--- a/stackpitch/duties/carrier/voting.py
+++ b/stackpitch/duties/carrier/voting.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from stackpitch.duties.calls import Answer, Call, raw
+from stackpitch.duties.calls import Answer, Call, encode_body
 from stackpitch.duties.carrier.figures import Figures
 from stackpitch.duties.carrier.posts import Posts
 from stackpitch.duties.ownership.ballots import Ballots, Identity
@@ -16,7 +16,7 @@
 from stackpitch.duties.ownership.terms import owner_of
 from stackpitch.duties.ownership.vacancy import APART, Vacancy, order
 from stackpitch.duties.ownership.voter import Promise, Voter
-from stackpitch.duties.record.register import Kept
+from stackpitch.duties.record.register import RecordValue
 from stackpitch.loop import SECOND, Coro, Group, Semaphore, Task, Time, World
 
 QUEUE = "votes"  # of its file: a voter must not wait while gigabytes of weights are written
@@ -38,7 +38,11 @@
     serial: int
 
 
-LEASE, KEPT, STATE = msgspec.json.Decoder(Lease), msgspec.json.Decoder(Kept), msgspec.json.Decoder(State)
+LEASE, KEPT, STATE = (
+    msgspec.json.Decoder(Lease),
+    msgspec.json.Decoder(RecordValue),
+    msgspec.json.Decoder(State),
+)
 PROMISE = msgspec.json.Decoder(Promise)
 
 
@@ -179,8 +183,8 @@
             if not self.opened:
                 return Answer("not open yet")
             if call.duty:
-                return Answer("yes", body=raw(self.ballots.promises.get(call.duty, Promise())))
-            return Answer("yes", body=raw(self.state(call.sender)))
+                return Answer("yes", body=encode_body(self.ballots.promises.get(call.duty, Promise())))
+            return Answer("yes", body=encode_body(self.state(call.sender)))
         if not self.joined:
             return Answer("not voting yet")
         yield from self.turns.acquire()
@@ -196,7 +200,7 @@
         finally:
             self.turns.release()
         if call.kind == "lease" and answer.yes:
-            return Answer("yes", answer.stamp, raw(Given(self.ballots.told)))
+            return Answer("yes", answer.stamp, encode_body(Given(self.ballots.told)))
         return answer
 
     def _decided(self, call: Call) -> Answer:
--- a/stackpitch/duties/ownership/voter.py
+++ b/stackpitch/duties/ownership/voter.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from stackpitch.duties.calls import Answer, Stamp, raw
+from stackpitch.duties.calls import Answer, Stamp, encode_body
 from stackpitch.duties.ownership.lease import voters_time
-from stackpitch.duties.record.register import LARGEST, Kept
+from stackpitch.duties.record.register import MAX_VALUE_BYTES, RecordValue
 from stackpitch.loop import Time
 
 
@@ -18,7 +18,7 @@
     """What a voter has promised for one duty: no grant and no write under a lower term."""
 
     stamp: Stamp = Stamp()
-    kept: Kept = Kept()
+    kept: RecordValue = RecordValue()
 
 
 class Refusal(msgspec.Struct, frozen=True):
@@ -87,7 +87,7 @@
         if stamp.term < known.term or (stamp.term == known.term and stamp != known):
             return Answer("older term", known)
         if free_in := self.free_in(now, duty, stamp):
-            return Answer("leased", known, raw(Refusal(free_in)))
+            return Answer("leased", known, encode_body(Refusal(free_in)))
         return None
 
     def would(self, now: Time, duty: str, stamp: Stamp, lease: Time) -> Answer:
@@ -123,12 +123,12 @@
             return refusal
         kept = self.promised(duty).kept
         self._promise(duty, Promise(stamp, kept))
-        return Answer("yes", stamp, raw(kept))
+        return Answer("yes", stamp, encode_body(kept))
 
-    def write(self, duty: str, stamp: Stamp, kept: Kept) -> Answer:
+    def write(self, duty: str, stamp: Stamp, kept: RecordValue) -> Answer:
         if (refusal := self._fenced(duty, stamp)) is not None:
             return refusal
-        if len(kept.value) > LARGEST:
+        if len(kept.value) > MAX_VALUE_BYTES:
             return Answer("record too large", stamp)
         if kept.stamp != stamp or kept.order < self.promised(duty).kept.order:
             return Answer("older write", stamp)  # repeated or overtaken by the same owner's later one
--- a/stackpitch/duties/record/__init__.py
+++ b/stackpitch/duties/record/__init__.py
@@ -1,1 +1,1 @@
-"""What an owner must not lose: one small value a duty, at the voters, written and read under a term. Pure."""
+"""One small durable value per duty, replicated at the voters, read and written under a term. Pure."""
--- a/stackpitch/duties/record/errors.py
+++ b/stackpitch/duties/record/errors.py
@@ -1,8 +1,8 @@
-"""What can be wrong with a record."""
+"""Errors of a duty's record."""
 
 
 class RecordTooLarge(Exception):
-    """The value was not written; the one before stands."""
+    """The value is too large and was not written; the previous one remains."""
 
     def __init__(self, duty: str, size: int, most: int) -> None:
         self.duty, self.size, self.most = duty, size, most
@@ -12,7 +12,7 @@
 
 
 class RecordLost(Exception):
-    """Voters know of an earlier owner's term and none of them has its record."""
+    """A term of an earlier owner is known, and no voter has the record written under it."""
 
     def __init__(self, duty: str, term: str) -> None:
         self.duty, self.term = duty, term
--- a/stackpitch/duties/record/register.py
+++ b/stackpitch/duties/record/register.py
@@ -1,14 +1,14 @@
-"""One duty's value at one voter."""
+"""One duty's record value, as each voter stores it."""
 
 import msgspec
 
 from stackpitch.duties.calls import Stamp
 
-LARGEST = 256 * 1024  # bytes of a value
+MAX_VALUE_BYTES = 256 * 1024
 
 
-class Kept(msgspec.Struct, frozen=True):
-    """A value and which write it is: under whose term, and the how manieth of the duty's life."""
+class RecordValue(msgspec.Struct, frozen=True):
+    """A value, the stamp it was written under, and its version: a counter over the duty's whole life."""
 
     stamp: Stamp = Stamp()
     version: int = 0
@@ -16,9 +16,10 @@
 
     @property
     def order(self) -> tuple[int, int]:
-        """Of two values the one with the higher is the newer."""
+        """Sorts values by age; the newer one compares higher."""
         return self.stamp.term, self.version
 
 
-def newest(found: list[Kept]) -> Kept:
-    return max(found, key=lambda one: one.order, default=Kept())
+def newest(values: list[RecordValue]) -> RecordValue:
+    """The newest of the values; an empty one if there are none."""
+    return max(values, key=lambda value: value.order, default=RecordValue())
--- a/stackpitch/duties/vocabulary/owning.py
+++ b/stackpitch/duties/vocabulary/owning.py
@@ -99,7 +99,7 @@
                 self._files(machine)
                 self._outcome(machine)
                 if machine.record != kept:
-                    yield from self.tenure.keep(written(machine.record))
+                    yield from self.tenure.write_record(written(machine.record))
                     kept = machine.record
                 self._answered(self.heard, Answer("yes"))
                 self.heard = []
@@ -207,7 +207,7 @@
                 group.spawn(self._tell_one(number, change), "tell")
 
     def _tell_one(self, number: int, change: Change) -> Coro[None]:
-        answer = yield from self.tenure.tell(number, "change", Tell(change))
+        answer = yield from self.tenure.send_call(number, "change", Tell(change))
         done = answer is not None and answer.yes
         if (
             answer is not None
@@ -225,7 +225,7 @@
 
     def _pages(self, number: int, digest: str, raw: bytes) -> Coro[bool]:
         for page in paged(raw, digest):
-            answer = yield from self.tenure.tell(number, "page", page)
+            answer = yield from self.tenure.send_call(number, "page", page)
             if answer is None or not answer.yes:
                 return False
         return True
--- a/stackpitch/duties/vocabulary/work.py
+++ b/stackpitch/duties/vocabulary/work.py
@@ -16,7 +16,7 @@
 from stackpitch.duties.vocabulary.errors import VocabularyError
 from stackpitch.duties.vocabulary.judging import Files, Looked, Way, marks
 from stackpitch.duties.vocabulary.owning import Asking, Owning
-from stackpitch.duties.work import Ground, Tenure
+from stackpitch.duties.work import DutyHost, Tenure
 from stackpitch.loop import Coro, Time, World
 from stackpitch.wire.decoding import decode
 
@@ -36,7 +36,7 @@
     def __init__(
         self,
         world: World,
-        ground: Ground,
+        ground: DutyHost,
         files: Files,
         way: Way,
         servers: Callable[[], Mapping[str, int]],
@@ -62,7 +62,7 @@
 
     # On the owner.
 
-    def own(self, tenure: Tenure, value: bytes) -> Coro[None]:
+    def run_as_owner(self, tenure: Tenure, value: bytes) -> Coro[None]:
         owning = self.owning = Owning(self, tenure, value)
         try:
             yield from owning.run()
@@ -100,7 +100,7 @@
     def announced(self, number: int, body: msgspec.Raw | None) -> None:
         """Gateways say nothing with it."""
 
-    def heard(self, sender: int, kind: str, stamp: Stamp, body: msgspec.Raw) -> Coro[Answer]:
+    def handle_call(self, sender: int, kind: str, stamp: Stamp, body: msgspec.Raw) -> Coro[Answer]:
         if kind == "asking":
             asking = decode(body, type=Asking)
             if self.owning is None:
--- a/stackpitch/duties/weights/owner.py
+++ b/stackpitch/duties/weights/owner.py
@@ -83,7 +83,7 @@
         mine = {number for site in wanted.sites.values() for number in site.gateways}
         kept = Kept(max(round(wanted.grant_ms * MS), older.lasts), tuple(sorted(mine | set(older.gateways))))
         if kept != self.kept:
-            yield from self.tenure.keep(msgspec.msgpack.encode(kept))
+            yield from self.tenure.write_record(msgspec.msgpack.encode(kept))
             self.kept = kept
         if older != Kept():
             self.settles = self.world.now() + longest(kept.lasts)
@@ -129,10 +129,10 @@
         return "yes"
 
     def _send(self, number: int, kind: str, body: Any) -> Coro[None]:
-        self._heard(number, (yield from self.tenure.tell(number, kind, body)))
+        self._heard(number, (yield from self.tenure.send_call(number, kind, body)))
 
     def _grant(self, planner: Planner, grant: Grant) -> Coro[None]:
-        answer = yield from self.tenure.tell(grant.lane.gateway, "grant", grant)
+        answer = yield from self.tenure.send_call(grant.lane.gateway, "grant", grant)
         self._heard(grant.lane.gateway, answer)
         if answer is not None and answer.yes:
             planner.taken(grant)
--- a/stackpitch/duties/weights/work.py
+++ b/stackpitch/duties/weights/work.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from stackpitch.duties.calls import Answer, Stamp, raw
+from stackpitch.duties.calls import Answer, Stamp, encode_body
 from stackpitch.duties.weights import forms
 from stackpitch.duties.weights.errors import WantedNotKept
 from stackpitch.duties.weights.grants.grant import Grant
@@ -16,7 +16,7 @@
 from stackpitch.duties.weights.receiving.receiver import Engines, Receiver
 from stackpitch.duties.weights.settings import WeightsSettings
 from stackpitch.duties.weights.wantedfile import WantedFile
-from stackpitch.duties.work import Ground, Tenure
+from stackpitch.duties.work import DutyHost, Tenure
 from stackpitch.loop import MS, SECOND, Coro, Group, Time, World
 from stackpitch.wire.decoding import decode
 
@@ -49,7 +49,7 @@
     def __init__(
         self,
         world: World,
-        ground: Ground,
+        ground: DutyHost,
         settings: WeightsSettings,
         start: int,
         address: Callable[[int], str],
@@ -71,7 +71,7 @@
             int, float
         ] = {}  # revenue by gateway, as the last announcement found it; emptied as tenures begin
 
-    def own(self, tenure: Tenure, value: bytes) -> Coro[None]:
+    def run_as_owner(self, tenure: Tenure, value: bytes) -> Coro[None]:
         self.waiting.clear()
         owner = self.owner = Owner(
             self.world, tenure, self.file, numbered, self.admits, self.log, self.waiting
@@ -91,7 +91,7 @@
         if said is not None:  # a gateway of an older version says nothing
             self.waiting[number] = said.revenue
 
-    def heard(self, sender: int, kind: str, stamp: Stamp, body: msgspec.Raw) -> Coro[Answer]:
+    def handle_call(self, sender: int, kind: str, stamp: Stamp, body: msgspec.Raw) -> Coro[Answer]:
         if kind == "report":
             word = (
                 self.owner.report(decode(body, type=forms.Report)) if self.owner is not None else "not owner"
@@ -117,7 +117,7 @@
             word = yield from self.receiver.release(stamp, decode(body, type=forms.Release))
         else:
             return Answer("not known")
-        return Answer(word, self.receiver.shelf.stamp, raw(self.receiver.report()))
+        return Answer(word, self.receiver.shelf.stamp, encode_body(self.receiver.report()))
 
     def _neighbour(self, address: str) -> int:
         if not address[1:].isdecimal() or int(address[1:]) >= self.ground.gateways:
--- a/stackpitch/duties/work.py
+++ b/stackpitch/duties/work.py
@@ -1,6 +1,7 @@
-"""What a piece of work needs from the ground it stands on, and what the ground asks of it.
+"""The interface between a coordinated task's work (one task: a "duty") and the service that elects its owner.
 
-Nothing above this seam can tell what grants terms and keeps records: our voters, or a lock service of the fleet's own.
+The work doesn't depend on what grants terms and stores records: the voting replicas of stackpitch.duties, or
+an external lock service.
 """
 
 from typing import Any, Protocol
@@ -12,53 +13,57 @@
 
 
 class Tenure(Protocol):
-    """One owner's time, from when the record has been read and written back under its term."""
+    """One owner's term, after the record has been read and written back under it."""
 
     stamp: Stamp
 
     def holds(self) -> bool:
-        """A look at the lease, now. To be taken just before each act; after a pause it is False before anything is
-        done."""
+        """Whether the lease is valid now. To be called just before each act: after a pause of the process
+        it is False before anything is done."""
 
-    def keep(self, value: bytes) -> Coro[None]:
-        """Writes the duty's record, whole. Returns once a majority has it on disk. Raises SteppedDown, RecordTooLarge."""
+    def write_record(self, value: bytes) -> Coro[None]:
+        """Replaces the duty's record. Returns once a majority of the voters has it on disk.
+        Raises SteppedDown, RecordTooLarge."""
 
-    def tell(self, number: int, kind: str, body: Any) -> Coro[Answer | None]:
-        """An effect at another gateway (or at this one), under the term; None if no answer came in time. Raises
-        SteppedDown if the lease is over or the other side knows a higher term; then this owner has stepped down."""
+    def send_call(self, number: int, kind: str, body: Any) -> Coro[Answer | None]:
+        """Sends a call with an effect to a gateway (this one too) under the term; None if no answer came in
+        time. Raises SteppedDown if the lease is over or the receiver knows a higher term; then this owner has
+        stepped down."""
 
 
-class Ground(Protocol):
-    """For work on any gateway, owner or not."""
+class DutyHost(Protocol):
+    """What work may use on every gateway, whether it owns the duty or not."""
 
     number: int
     gateways: int
 
     def owner(self, duty: str) -> int | None:
-        """Who was last heard to own a duty; it may have changed since."""
+        """The last known owner of a duty; it may have changed since."""
 
     def ask(self, number: int, duty: str, kind: str, body: Any) -> Coro[Answer | None]:
-        """A call without a term, as reports are; None if it was lost."""
+        """Sends a call without a term, such as a report; None if it was lost."""
 
 
 class Work(Protocol):
-    """One duty's work. `own` runs on the owner alone, the rest on every gateway."""
+    """One duty's work. `run_as_owner` and `announced` run on the owner alone, the rest on every gateway."""
 
     name: str
 
-    def own(self, tenure: Tenure, value: bytes) -> Coro[None]:
-        """Runs while this gateway owns the duty, and is cancelled when it steps down. `value`: the record, b"" at first."""
+    def run_as_owner(self, tenure: Tenure, value: bytes) -> Coro[None]:
+        """Runs while this gateway owns the duty; cancelled when it steps down. `value`: the record, at first
+        b""."""
 
-    def heard(self, sender: int, kind: str, stamp: Stamp, body: msgspec.Raw) -> Coro[Answer]:
-        """A call of this duty. One with a term (`stamp.term` > 0) has passed the fence: no higher term was heard here
-        before it. Raises msgspec.ValidationError on a body that is malformed; it is dropped and counted."""
+    def handle_call(self, sender: int, kind: str, stamp: Stamp, body: msgspec.Raw) -> Coro[Answer]:
+        """Handles a call of this duty. One with a term (`stamp.term` > 0) has been checked already: no higher
+        term was known here before it. Raises msgspec.ValidationError if the body is malformed; the call is
+        dropped and counted."""
 
     def present(self) -> Any:
-        """What goes with this gateway's yes to an owner's announcement, small; None: nothing."""
+        """A small body for this gateway's answer to an owner's announcement; None if there is none."""
 
     def announced(self, number: int, body: msgspec.Raw | None) -> None:
-        """On the owner, with each announcement: what came with a gateway's yes; None if it was not reached. Raises
-        msgspec.DecodeError on a body that is malformed; it is taken as not reached."""
+        """Called on the owner for each gateway and announcement: the body of its answer, None if it was not
+        reached. Raises msgspec.DecodeError if the body is malformed; it then counts as not reached."""
 
     def serve(self) -> Coro[None]:
-        """Runs as long as the gateway does."""
+        """Runs for as long as the gateway does."""
--- a/stackpitch/rehearse/exploring/runners.py
+++ b/stackpitch/rehearse/exploring/runners.py
@@ -1,11 +1,11 @@
-"""A candidate's steps, by the real `Candidate` and `Keeping`."""
+"""A candidate's steps, by the real `Candidate` and `RecordClient`."""
 
 from functools import cache
 
-from stackpitch.duties.calls import Answer, raw
+from stackpitch.duties.calls import Answer, encode_body
 from stackpitch.duties.ownership.candidate import Candidate
 from stackpitch.duties.ownership.rounds import Round
-from stackpitch.duties.record.keeping import Keeping
+from stackpitch.duties.record.client import RecordClient
 from stackpitch.rehearse.exploring.state import LEASE, NOW, Ask, Paper, Runner, Said, State, stamp
 from stackpitch.rehearse.exploring.voters import DUTY, kept
 
@@ -35,7 +35,7 @@
 
 @cache
 def yes(said: Said) -> Answer:
-    return Answer("yes", body=raw(kept(said.paper)))
+    return Answer("yes", body=encode_body(kept(said.paper)))
 
 
 def put(state: State, number: int, runner: Runner) -> State:
@@ -131,9 +131,9 @@
     """A majority has told: the newest is written back under our term before anything is done by it."""
     runner = state.runners[number]
     runner = runner._replace(rounds=tuple(one for one in runner.rounds if one[1] != "read"))
-    keeping = Keeping(DUTY, stamp(runner.stamp), asked.voters)
-    keeping.found(asked)
-    wanted = keeping.wanted
+    keeping = RecordClient(DUTY, stamp(runner.stamp), asked.voters)
+    keeping.finish_read(asked)
+    wanted = keeping.pending
     assert wanted is not None
     value = int(wanted.value or b"0")
     told = Paper(kept=runner.stamp, version=wanted.version, value=value)
--- a/stackpitch/rehearse/exploring/voters.py
+++ b/stackpitch/rehearse/exploring/voters.py
@@ -6,16 +6,16 @@
 from stackpitch.duties.ownership.joining import merged
 from stackpitch.duties.ownership.lease import voters_time
 from stackpitch.duties.ownership.voter import Heard, Promise, Running, Voter
-from stackpitch.duties.record.keeping import of
-from stackpitch.duties.record.register import Kept
+from stackpitch.duties.record.client import decode_value
+from stackpitch.duties.record.register import RecordValue
 from stackpitch.rehearse.exploring.state import LEASE, NONE, NOW, Ask, Paper, Said, Seat, paper, stamp
 
 DUTY = "d"
 QUIET = voters_time(LEASE, 0)
 
 
-def kept(told: Paper) -> Kept:
-    return Kept(stamp(told.kept), told.version, b"%d" % told.value if told.version else b"")
+def kept(told: Paper) -> RecordValue:
+    return RecordValue(stamp(told.kept), told.version, b"%d" % told.value if told.version else b"")
 
 
 def promise(told: Paper) -> Promise:
@@ -66,7 +66,7 @@
         answer = voter.release(NOW, DUTY, who)
     elif ask.kind == "read":
         answer = voter.read(DUTY, who)
-        read = Paper() if not answer.yes else paper(Promise(kept=of(answer)))
+        read = Paper() if not answer.yes else paper(Promise(kept=decode_value(answer)))
     else:
         if "late writes" in bugs and ask.paper.kept < seat.promise.stamp:
             voter.promises[DUTY] = Promise(stamp(seat.promise.stamp), kept(ask.paper))
--- a/stackpitch/rehearse/network/sight.py
+++ b/stackpitch/rehearse/network/sight.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from stackpitch.duties.calls import ANSWER, CALL
+from stackpitch.duties.calls import ANSWER_DECODER, CALL_DECODER
 
 PATH = "/duty"
 
@@ -49,7 +49,7 @@
     if path != PATH:
         return {}
     try:
-        call = CALL.decode(body)
+        call = CALL_DECODER.decode(body)
     except msgspec.DecodeError:
         return {"unread": len(body)}
     found: dict[str, Any] = {
@@ -78,7 +78,7 @@
     if path != PATH or status != 200:
         return {"status": status}
     try:
-        answer = ANSWER.decode(body)
+        answer = ANSWER_DECODER.decode(body)
     except msgspec.DecodeError:
         return {"status": status, "unread": len(body)}
     return {"status": status, "word": answer.word, "knows": [answer.stamp.term, answer.stamp.start]}
--- a/tests/duties_life.py
+++ b/tests/duties_life.py
@@ -7,7 +7,7 @@
 import heapq
 import random
 
-from stackpitch.duties.calls import Answer, Stamp, raw
+from stackpitch.duties.calls import Answer, Stamp, encode_body
 from stackpitch.duties.ownership import candidate as candidates
 from stackpitch.duties.ownership.fence import Fence
 from stackpitch.duties.ownership.joining import State, decide
@@ -15,7 +15,7 @@
 from stackpitch.duties.ownership.rounds import Round
 from stackpitch.duties.ownership.vacancy import Vacancy, order
 from stackpitch.duties.ownership.voter import Voter
-from stackpitch.duties.record.keeping import Keeping
+from stackpitch.duties.record.client import RecordClient
 
 DUTY, LEASE, CALL, DRIFT = "weights", 10_000, 1_500, 0.01
 
@@ -146,14 +146,14 @@
         if "late lease" in life.bugs:
             self.candidate.until = self.now() + 2 * LEASE
         life.wins(self, stamp)
-        self.keeping, self.value = Keeping(DUTY, stamp, life.voters), None
-        read = self.keeping.read(self.now())
+        self.keeping, self.value = RecordClient(DUTY, stamp, life.voters), None
+        read = self.keeping.read_round(self.now())
         committed = life.committed
 
         def found():
-            self.keeping.found(read)
+            self.keeping.finish_read(read)
             if "no write-back" in life.bugs:
-                self.keeping.written(self.keeping.wanted)
+                self.keeping.finish_write(self.keeping.pending)
                 self.ready(committed)
             else:
                 self.write(lambda: self.ready(committed))
@@ -163,7 +163,7 @@
         self.act(stamp)
 
     def ready(self, committed):
-        self.value = int(self.keeping.kept.value or b"0")
+        self.value = int(self.keeping.current.value or b"0")
         assert self.value >= committed, (
             f"a record that a majority had was lost: {committed}, found {self.value}"
         )
@@ -172,16 +172,16 @@
         self.later(self.life.chance.randrange(0, 2 * LEASE), lambda: self.work(stamp))
 
     def write(self, then):
-        wanted, asked = self.keeping.wanted, self.keeping.write(self.now())
+        wanted, asked = self.keeping.pending, self.keeping.write_round(self.now())
         if wanted is not None and self.looks(asked.stamp):
 
             def done():
-                if self.keeping.wanted is wanted:
-                    self.keeping.written(wanted)
+                if self.keeping.pending is wanted:
+                    self.keeping.finish_write(wanted)
                     then()
 
             self.send(asked, wanted, done)
-            self.later(CALL, lambda: self.keeping.wanted is wanted and self.write(then))
+            self.later(CALL, lambda: self.keeping.pending is wanted and self.write(then))
 
     def looks(self, stamp):
         return self.candidate.stamp == stamp and self.candidate.holds(self.now())
@@ -190,7 +190,7 @@
         """Counts up; each count that a majority has is never forgotten."""
         if self.looks(stamp) and self.keeping.stamp == stamp:
             value = self.value + 1
-            self.keeping.want(b"%d" % value)
+            self.keeping.set_pending(b"%d" % value)
 
             def done():
                 self.value = value
@@ -325,4 +325,4 @@
         return [node for node in self.nodes if node.up and node.candidate.holds(node.now())]
 
 
-__all__ = ["DUTY", "LEASE", "Life", "Round", "raw"]
+__all__ = ["DUTY", "LEASE", "Life", "Round", "encode_body"]
--- a/tests/duties_stage.py
+++ b/tests/duties_stage.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from stackpitch.duties.calls import ANSWER, FORM, Answer, Call, Stamp, raw
+from stackpitch.duties.calls import ANSWER_DECODER, FORMAT_VERSION, Answer, Call, Stamp, encode_body
 
 ROOT = Path(__file__).parent.parent
 LEASE_MS = 1000
@@ -264,7 +264,7 @@
         sender: int | None = None,
         body=None,
         fleet: str = "hall",
-        form: int = FORM,
+        form: int = FORMAT_VERSION,
         addressed: int | None = None,
     ) -> Answer | str:
         """As another gateway would send it; the text of what is wrong if it was dropped."""
@@ -277,14 +277,14 @@
             duty,
             kind,
             Stamp(term, start),
-            raw(body),
+            encode_body(body),
         )
         return self.post(to, msgspec.json.encode(call))
 
     def post(self, to: int, data: bytes) -> Answer | str:
         request = urllib.request.Request(f"http://127.0.0.1:{self.ports[to]}/duty", data, method="POST")
         try:
-            return ANSWER.decode(urllib.request.urlopen(request, timeout=3).read())
+            return ANSWER_DECODER.decode(urllib.request.urlopen(request, timeout=3).read())
         except urllib.error.HTTPError as wrong:
             return wrong.read().decode()
         except urllib.error.URLError as wrong:  # closed before all was sent
--- a/tests/test_announced.py
+++ b/tests/test_announced.py
@@ -7,7 +7,7 @@
 from weights_stage import MemoryDisk
 
 from benchmarks.duties import QUIET
-from stackpitch.duties.calls import raw
+from stackpitch.duties.calls import encode_body
 from stackpitch.duties.carrier import Duties, Figures
 from stackpitch.duties.weights import forms
 from stackpitch.duties.weights.plan.sites import Heard, Sites
@@ -36,7 +36,7 @@
         else:
             self.heard_of[number] = msgspec.json.decode(body)["number"]
 
-    def own(self, tenure, value):
+    def run_as_owner(self, tenure, value):
         while True:
             yield from tenure.world.sleep(SECOND)
 
@@ -121,12 +121,12 @@
     sites = Sites(wanted, work.waiting)
     heard = Heard(forms.Report("a", 1, forms.Mark(1, 0), 4.0), 0)
     for number, revenue in ((1, 3.0), (2, 9.0), (3, 5.0)):
-        work.announced(number, raw(forms.Present(revenue)))
+        work.announced(number, encode_body(forms.Present(revenue)))
     assert sites.revenue("a", heard) == 9.0, "the receiver's own as it said last, the other's as announced"
-    work.announced(3, raw(None))
+    work.announced(3, encode_body(None))
     assert sites.revenue("a", heard) == 4.0, "a gateway of an older version says nothing"
     for body in (b"[1]", b'{"revenue": -1}', b'{"revenue": "x"}'):
-        work.announced(3, raw(forms.Present(5.0)))
+        work.announced(3, encode_body(forms.Present(5.0)))
         with pytest.raises(msgspec.DecodeError):
             work.announced(3, msgspec.Raw(body))
         assert sites.revenue("a", heard) == 4.0
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -9,7 +9,7 @@
 import pytest
 from duties_stage import LEASE_MS, ROOT, Fleet, number_of, order
 
-from stackpitch.duties.calls import FORM
+from stackpitch.duties.calls import FORMAT_VERSION
 from stackpitch.duties.ownership.voter import Promise
 
 
@@ -288,8 +288,8 @@
         )
         for said, wrong in {
             "another fleet": {"fleet": "other"},
-            "update the receiver": {"form": FORM + 1},
-            "update the sender": {"form": FORM - 1},
+            "update the receiver": {"form": FORMAT_VERSION + 1},
+            "update the sender": {"form": FORMAT_VERSION - 1},
             "malformed   ": {"form": -1},
             "for another gateway": {"addressed": 7},
             "unknown sender": {"sender": 9},
--- a/tests/test_duties_pure.py
+++ b/tests/test_duties_pure.py
@@ -18,8 +18,8 @@
 from stackpitch.duties.ownership.terms import next_term, owner_of, text
 from stackpitch.duties.ownership.vacancy import Vacancy, order
 from stackpitch.duties.ownership.voter import Promise, Voter
-from stackpitch.duties.record.keeping import of
-from stackpitch.duties.record.register import Kept
+from stackpitch.duties.record.client import decode_value
+from stackpitch.duties.record.register import RecordValue
 from stackpitch.loop import MS, RealFiles
 
 ALL = scenarios(Path(__file__).parent / "scenarios_duties")
@@ -62,7 +62,7 @@
         lease = int(words[0]) * MS if words and kind == "lease" else 3000 * MS
         if kind == "write":
             value = b"x" * int(words[1][1:]) if words[1][0] == "+" else words[1].encode()
-            answer = voter.write("d", who, Kept(who, int(words[0]), value))
+            answer = voter.write("d", who, RecordValue(who, int(words[0]), value))
         else:
             answer = {
                 "lease": lambda: voter.grant(self.now, "d", who, lease, renewal),
@@ -80,7 +80,7 @@
         if answer.word == "leased":
             said.append(str(-(-voter.free_in(self.now, "d", who) // MS)))
         if kind == "read" and answer.yes:
-            kept = of(answer)
+            kept = decode_value(answer)
             said.append(f"{shown(kept.stamp)}.{kept.version}={kept.value.decode()}" if kept.version else "-")
         assert said[: len(wanted)] == wanted, said
 
@@ -91,7 +91,7 @@
         if "=" in word and word.split("=")[0] not in ("seen", "generation"):
             duty, value = word.split("=")
             term = int(value.split(".")[0]) << 10
-            found[duty] = Promise(Stamp(term, 1), Kept(Stamp(term, 1), int(value.split(".")[1])))
+            found[duty] = Promise(Stamp(term, 1), RecordValue(Stamp(term, 1), int(value.split(".")[1])))
     return found
 
 
@@ -273,7 +273,7 @@
                 assert ballots.begin({})
                 for term in range(1, 25):
                     assert ballots.save(
-                        "weights", Promise(Stamp(term, 1), Kept(Stamp(term, 1), term, b"v" * 40))
+                        "weights", Promise(Stamp(term, 1), RecordValue(Stamp(term, 1), term, b"v" * 40))
                     )
                     answered = term
             except Cut:
--- a/tests/test_network.py
+++ b/tests/test_network.py
@@ -7,7 +7,7 @@
 import pytest
 from play import scenarios
 
-from stackpitch.duties.calls import ANSWER, ENCODER, FORM, Answer, Call, Stamp, raw
+from stackpitch.duties.calls import ANSWER_DECODER, ENCODER, FORMAT_VERSION, Answer, Call, Stamp, encode_body
 from stackpitch.loop import MS, SECOND, ConnectFailed, ConnectionLost
 from stackpitch.loop.virtual import VirtualWorld
 from stackpitch.rehearse.network import Link, NetworkSettings, run_network
@@ -67,7 +67,7 @@
                 reader.feed(data)
             call = msgspec.json.decode(reader.body(), type=Call)
             self.taken[number].append(call.kind)
-            answer = ENCODER.encode(Answer("yes", call.stamp, raw("+".join(self.taken[number]))))
+            answer = ENCODER.encode(Answer("yes", call.stamp, encode_body("+".join(self.taken[number]))))
             stream.write(http.response(200, answer, [("connection", "close")]))
             yield from stream.drain()
         except ConnectionLost:
@@ -76,7 +76,7 @@
             stream.close()
 
     def ask(self, sender, to, name, limit):
-        body = ENCODER.encode(Call(FORM, "fleet", sender, to, "weights", name, Stamp(5, 1)))
+        body = ENCODER.encode(Call(FORMAT_VERSION, "fleet", sender, to, "weights", name, Stamp(5, 1)))
         what = "nothing"
         with self.world.limit(limit):
             try:
@@ -84,7 +84,7 @@
                 try:
                     stream.write(http.request("POST", "/duty", "g", body))
                     found = yield from whole(stream, http.ResponseParser(8192, 1 << 20))
-                    what = "broken" if found is None else json.loads(bytes(ANSWER.decode(found).body))
+                    what = "broken" if found is None else json.loads(bytes(ANSWER_DECODER.decode(found).body))
                 finally:
                     stream.close()
             except (ConnectionLost, ConnectFailed) as wrong:
--- a/tests/test_vocabulary.py
+++ b/tests/test_vocabulary.py
@@ -11,7 +11,7 @@
 from play import Play, scenarios
 from tokenizers import Tokenizer, decoders, models, pre_tokenizers, trainers
 
-from stackpitch.duties.calls import FORM, Call, Stamp, raw
+from stackpitch.duties.calls import FORMAT_VERSION, Call, Stamp, encode_body
 from stackpitch.duties.carrier import Duties, Figures
 from stackpitch.duties.vocabulary import catalogue, errors
 from stackpitch.duties.vocabulary.acting import Acting, Asked, Known, Seen, Told, Written, asked, decide
@@ -716,10 +716,10 @@
         yield from self.world.sleep(5)
         if sender != number and {sender, number} & self.cut:
             return None
-        body = body if isinstance(body, msgspec.Raw) else raw(body)
+        body = body if isinstance(body, msgspec.Raw) else encode_body(body)
         return (
             yield from self.duties[number].desk.heard(
-                Call(FORM, "hall", sender, number, duty, kind, stamp, body)
+                Call(FORMAT_VERSION, "hall", sender, number, duty, kind, stamp, body)
             )
         )
 
@@ -1025,7 +1025,7 @@
     work = Fleet(VirtualWorld(1), tmp_path).works[0]
     work.pending = Told(Stamp(1), Change(1, "allowed", "A", "B", "P", Summary("x", 1, 0, 0.0)))
     with pytest.raises(msgspec.ValidationError):
-        work.world.run(work.heard(1, kind, stamp, raw(body)))
+        work.world.run(work.handle_call(1, kind, stamp, encode_body(body)))
 
 
 @pytest.mark.parametrize("value", [b"x", b"vocabulary 1\n{", b"vocabulary 1\n[]", b"vocabulary 2\n{}"])
--- a/tests/test_weights_sites.py
+++ b/tests/test_weights_sites.py
@@ -8,7 +8,7 @@
 import pytest
 from weights_stage import Stage, bytes_of, model
 
-from stackpitch.duties.calls import Stamp, raw
+from stackpitch.duties.calls import Stamp, encode_body
 from stackpitch.duties.weights import errors, forms
 from stackpitch.duties.weights.lastgood import LastGood
 from stackpitch.duties.weights.placing.disk import RealDisk
@@ -166,7 +166,7 @@
 
     def script(stage):
         tenure = stage.own(3)
-        answer = yield from stage.nodes[1].work.heard(3, "place", tenure.stamp, raw(place))
+        answer = yield from stage.nodes[1].work.handle_call(3, "place", tenure.stamp, encode_body(place))
         assert answer.yes
         yield from stage.until(lambda: stage.nodes[0].engines.told)
         yield from stage.world.sleep(6 * SECOND)
@@ -192,7 +192,7 @@
 
     def script(stage):
         tenure = stage.own(3)
-        assert (yield from stage.nodes[1].work.heard(3, "place", tenure.stamp, raw(place))).yes
+        assert (yield from stage.nodes[1].work.handle_call(3, "place", tenure.stamp, encode_body(place))).yes
         yield from stage.until(lambda: ("m", "1") in stage.nodes[0].engines.told)
         yield from stage.world.sleep(6 * SECOND)  # it has seen the release of version 1
         stage.tree["models"]["m"] = model(OTHER, ["s0"], version="2", name="n")
@@ -346,13 +346,13 @@
         )
         yield from stage.until(lambda: stage.nodes[0].engines.told)
         assert stage.placed(0, "m") == DATA
-        release = raw(forms.Release("m", "1", 99))
-        answer = yield from stage.nodes[0].work.heard(1, "service", Stamp(1, 1), release)
+        release = encode_body(forms.Release("m", "1", 99))
+        answer = yield from stage.nodes[0].work.handle_call(1, "service", Stamp(1, 1), release)
         assert answer.word == "older" and answer.stamp.term == 2
         stage.nodes[0].kill()
         stage.nodes[0].start()
         yield from stage.world.sleep(SECOND)
-        answer = yield from stage.nodes[0].work.heard(1, "service", Stamp(1, 1), release)
+        answer = yield from stage.nodes[0].work.handle_call(1, "service", Stamp(1, 1), release)
         assert answer.word == "older", "also after a restart"
         within(stage.origin.served, RATE)
 
@@ -396,7 +396,7 @@
                 stage.own(0)
                 yield from stage.until(lambda: work.owner is not None)
             with pytest.raises(msgspec.ValidationError):
-                yield from work.heard(3, kind, Stamp(9 if kind != "report" else 0), raw(body))
+                yield from work.handle_call(3, kind, Stamp(9 if kind != "report" else 0), encode_body(body))
         good = {
             "lane": {"site": "s0", "gateway": 0, "start": 1, "source": "origin"},
             "serial": 1,
@@ -418,12 +418,12 @@
             {"age": 10**6},
         ):
             with pytest.raises(msgspec.ValidationError):
-                yield from work.heard(3, "grant", Stamp(9), raw(good | change))
-        assert (yield from work.heard(3, "grant", Stamp(9), raw(good))).word == "not known"
+                yield from work.handle_call(3, "grant", Stamp(9), encode_body(good | change))
+        assert (yield from work.handle_call(3, "grant", Stamp(9), encode_body(good))).word == "not known"
         place = {"model": "m", "version": "9", "size": 5000, "piece": 1024, "whole": "0" * 64, "pieces": []}
-        assert (yield from work.heard(3, "place", Stamp(9), raw(place))).word == "malformed"
-        assert (yield from work.heard(3, "grant", Stamp(), raw({}))).word == "a term is needed"
-        assert (yield from work.heard(3, "what", Stamp(9), raw({}))).word == "not known"
+        assert (yield from work.handle_call(3, "place", Stamp(9), encode_body(place))).word == "malformed"
+        assert (yield from work.handle_call(3, "grant", Stamp(), encode_body({}))).word == "a term is needed"
+        assert (yield from work.handle_call(3, "what", Stamp(9), encode_body({}))).word == "not known"
 
     played(tmp_path, tree(m=model(DATA, ["s0"])), {"/m": DATA}, script)
 
--- a/tests/weights_stage.py
+++ b/tests/weights_stage.py
@@ -3,7 +3,7 @@
 import random
 from pathlib import Path
 
-from stackpitch.duties.calls import ENCODER, GROUND, Answer, Stamp, raw
+from stackpitch.duties.calls import ENCODER, RESERVED_KINDS, Answer, Stamp, encode_body
 from stackpitch.duties.weights import errors
 from stackpitch.duties.weights import manifest as manifests
 from stackpitch.duties.weights.placing.disk import RealDisk
@@ -50,12 +50,12 @@
     def holds(self):
         return self.stage.term == self.stamp.term
 
-    def keep(self, value):
+    def write_record(self, value):
         self.stage.record = value
         yield from ()
 
-    def tell(self, number, kind, body):
-        assert kind not in GROUND, "the ground would take it for its own"
+    def send_call(self, number, kind, body):
+        assert kind not in RESERVED_KINDS, "a kind that belongs to leases and records"
         if not self.paused and not self.holds():
             raise SteppedDown
         while self.paused:
@@ -68,7 +68,7 @@
         return found
 
 
-class Ground:
+class DutyHost:
     def __init__(self, stage, number):
         self.stage, self.number, self.gateways = stage, number, 8
 
@@ -104,7 +104,7 @@
         stage = self.stage
         self.work = WeightsWork(
             stage.world,
-            Ground(stage, self.number),
+            DutyHost(stage, self.number),
             WeightsSettings(wanted=stage.path, folder=self.folder),
             stage.world.unique_id(),
             stage.address,
@@ -180,7 +180,7 @@
         if stamp.term and stamp < node.fence:
             return Answer("older term", node.fence)
         node.fence = max(node.fence, stamp)
-        found = yield from node.work.heard(0, kind, stamp, raw_of(data))
+        found = yield from node.work.handle_call(0, kind, stamp, raw_of(data))
         yield from self.world.sleep(5)
         return found
 
@@ -192,7 +192,7 @@
 
         def owning():
             try:
-                yield from self.nodes[number].work.own(tenure, self.record)
+                yield from self.nodes[number].work.run_as_owner(tenure, self.record)
             except (SteppedDown, BaseExceptionGroup):
                 tenure.words.append("stepped down")
             except errors.NoWanted as wrong:
@@ -265,4 +265,4 @@
     return random.Random(seed).randbytes(size)
 
 
-__all__ = ["Stage", "bytes_of", "model", "raw"]
+__all__ = ["Stage", "bytes_of", "encode_body", "model"]
