--- a/stackpitch/duties/carrier/duties.py
+++ b/stackpitch/duties/carrier/duties.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from stackpitch.duties.calls import LARGEST, Answer
+from stackpitch.duties.calls import MAX_MESSAGE_BYTES, Answer
 from stackpitch.duties.carrier.config import DutiesConfig
 from stackpitch.duties.carrier.learning import learn
 from stackpitch.duties.carrier.lease_manager import LeaseManager
@@ -17,13 +17,13 @@
 
 
 class Duties:
-    """Runs a gateway's duties; implements `work.Ground` for their works.
+    """Runs a gateway's duties; implements `work.DutyHost` for their works.
 
     `works`: this gateway's works by name. A duty without one is still owned by some gateway, with an empty
     record.
     """
 
-    LARGEST = LARGEST
+    LARGEST = MAX_MESSAGE_BYTES
 
     def __init__(self, world: World, log: Any, config: DutiesConfig, works: Iterable[Work] = ()) -> None:
         self.world, self.log, self.config = world, log, config
--- a/stackpitch/duties/carrier/lease_manager.py
+++ b/stackpitch/duties/carrier/lease_manager.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from stackpitch.duties.calls import Answer, Call, Stamp, raw
+from stackpitch.duties.calls import Answer, Call, Stamp, encode_body
 from stackpitch.duties.carrier.announcing import announce
 from stackpitch.duties.carrier.config import DutiesConfig
 from stackpitch.duties.carrier.peer_calls import PeerCalls
@@ -90,7 +90,7 @@
             )
 
         body = (
-            raw(Lease(self.config.lease_duration, quorum_round.renewal, self.serials))
+            encode_body(Lease(self.config.lease_duration, quorum_round.renewal, self.serials))
             if quorum_round.kind in ("would", "lease")
             else None
         )
@@ -161,11 +161,11 @@
             duty=self.duty,
             term=terms.format_term(stamp.term),
             bytes=len(value),
-            version=tenure.keeping.kept.version,
+            version=tenure.keeping.current.version,
         )
         group.spawn(announce(self.world, self.config, tenure, self.work), f"announce {self.duty}")
         if self.work is not None:
-            yield from self.work.own(tenure, value)
+            yield from self.work.run_as_owner(tenure, value)
 
     def _renew(self, stamp: Stamp) -> Coro[None]:
         while True:
--- a/stackpitch/duties/carrier/peer_calls.py
+++ b/stackpitch/duties/carrier/peer_calls.py
@@ -6,7 +6,16 @@
 
 import msgspec
 
-from stackpitch.duties.calls import ANSWER, ENCODER, FORM, LARGEST, Answer, Call, Stamp, raw
+from stackpitch.duties.calls import (
+    ANSWER_DECODER,
+    ENCODER,
+    FORMAT_VERSION,
+    MAX_MESSAGE_BYTES,
+    Answer,
+    Call,
+    Stamp,
+    encode_body,
+)
 from stackpitch.duties.carrier.config import DutiesConfig
 from stackpitch.exchange import request_once
 from stackpitch.loop import Coro, Semaphore, World
@@ -40,14 +49,14 @@
         """
         config = self.config
         call = Call(
-            FORM,
+            FORMAT_VERSION,
             config.fleet,
             config.number,
             number,
             duty,
             kind,
             stamp,
-            body if isinstance(body, msgspec.Raw) else raw(body),
+            body if isinstance(body, msgspec.Raw) else encode_body(body),
         )
         if number == config.number:
             return (yield from self.handle_locally(call)) if still_valid() else None
@@ -57,14 +66,14 @@
             if not still_valid():
                 return None
             reader = yield from request_once(
-                self.world, config.addresses[number], config.call_timeout, request, LARGEST
+                self.world, config.addresses[number], config.call_timeout, request, MAX_MESSAGE_BYTES
             )
         finally:
             self.slots.release()
         answer = None
         if reader is not None and reader.status == 200:
             try:
-                answer = ANSWER.decode(b"".join(reader.pieces))
+                answer = ANSWER_DECODER.decode(b"".join(reader.pieces))
             except msgspec.DecodeError:
                 pass
         self.counts[kind, "lost" if answer is None else "yes" if answer.yes else "no"] += 1
--- a/stackpitch/duties/carrier/receiver.py
+++ b/stackpitch/duties/carrier/receiver.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from stackpitch.duties.calls import CALL, ENCODER, FORM, Answer, Call, raw
+from stackpitch.duties.calls import CALL_DECODER, ENCODER, FORMAT_VERSION, Answer, Call, encode_body
 from stackpitch.duties.carrier.config import DutiesConfig
 from stackpitch.duties.carrier.lease_manager import LeaseManager
 from stackpitch.duties.carrier.voter_service import KINDS, VoterService
@@ -33,7 +33,7 @@
     def handle_request(self, body: bytes) -> Coro[tuple[int, bytes]]:
         """Handles `POST /duty`; returns the status and the body of the response."""
         try:
-            call = CALL.decode(body)
+            call = CALL_DECODER.decode(body)
             if (reason := self._reason_to_drop(call)) is None:
                 return 200, ENCODER.encode((yield from self.handle(call)))
         except msgspec.DecodeError:
@@ -46,9 +46,10 @@
 
     def _reason_to_drop(self, call: Call) -> str | None:
         config = self.config
-        if call.form != FORM:
+        if call.form != FORMAT_VERSION:
             return (
-                f"form {call.form}, this side has {FORM}: update the {'receiver' if call.form > FORM else 'sender'}"
+                f"form {call.form}, this side has {FORMAT_VERSION}: "
+                f"update the {'receiver' if call.form > FORMAT_VERSION else 'sender'}"
                 if (0 < call.form < 1 << 16)
                 else "malformed"
             )
@@ -101,8 +102,8 @@
             self.owners[call.duty] = terms.owner_of(call.stamp.term)
             if call.kind == "owner":
                 work = self.works.get(call.duty)
-                return Answer("yes", call.stamp, raw(work.present() if work is not None else None))
+                return Answer("yes", call.stamp, encode_body(work.present() if work is not None else None))
         work = self.works.get(call.duty)
         if work is None:
             return Answer("no such work")
-        return (yield from work.heard(call.sender, call.kind, call.stamp, call.body))
+        return (yield from work.handle_call(call.sender, call.kind, call.stamp, call.body))
--- a/stackpitch/duties/carrier/tenure.py
+++ b/stackpitch/duties/carrier/tenure.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from stackpitch.duties.calls import GROUND, Answer, Stamp, raw
+from stackpitch.duties.calls import RESERVED_KINDS, Answer, Stamp, encode_body
 from stackpitch.duties.carrier.config import DutiesConfig
 from stackpitch.duties.carrier.peer_calls import PeerCalls
 from stackpitch.duties.ownership import terms
@@ -11,8 +11,8 @@
 from stackpitch.duties.ownership.errors import SteppedDown
 from stackpitch.duties.ownership.pacing import ROUND_RETRY_DELAY
 from stackpitch.duties.ownership.rounds import Round
+from stackpitch.duties.record.client import RecordClient
 from stackpitch.duties.record.errors import RecordLost
-from stackpitch.duties.record.keeping import Keeping
 from stackpitch.loop import Coro, Group, World
 
 
@@ -35,7 +35,7 @@
     ) -> None:
         self.world, self.group, self.config, self.duty, self.stamp = world, group, config, duty, stamp
         self.peer_calls, self.candidate, self.step_down = peer_calls, candidate, step_down
-        self.keeping = Keeping(duty, stamp, config.voters)
+        self.keeping = RecordClient(duty, stamp, config.voters)
 
     def holds(self) -> bool:
         """Whether the lease of this tenure's term is valid now."""
@@ -56,27 +56,31 @@
 
         `known`: the highest stamp seen in service at this gateway. Raises SteppedDown, RecordLost.
         """
-        quorum_round = yield from self._majority_round(lambda: self.keeping.read(self.world.now()), None)
-        self.keeping.found(quorum_round)
-        lost = not self.keeping.kept.stamp.term and terms.generation_of(known.term) == self.config.generation
+        quorum_round = yield from self._majority_round(
+            lambda: self.keeping.read_round(self.world.now()), None
+        )
+        self.keeping.finish_read(quorum_round)
+        lost = (
+            not self.keeping.current.stamp.term and terms.generation_of(known.term) == self.config.generation
+        )
         if lost and known.term and known != self.stamp:
             raise RecordLost(self.duty, terms.format_term(known.term))
         yield from self._write()
-        return self.keeping.kept.value
+        return self.keeping.current.value
 
-    def keep(self, value: bytes) -> Coro[None]:
+    def write_record(self, value: bytes) -> Coro[None]:
         """Writes the record to a majority. Raises SteppedDown, RecordTooLarge."""
-        self.keeping.want(value)
+        self.keeping.set_pending(value)
         yield from self._write()
 
     def _write(self) -> Coro[None]:
-        wanted = self.keeping.wanted
+        wanted = self.keeping.pending
         assert wanted is not None, "only after a value was found or wanted"
-        body = raw(wanted)
+        body = encode_body(wanted)
         yield from self._majority_round(
             lambda: Round("write", self.stamp, self.world.now(), self.config.voters), body
         )
-        self.keeping.written(wanted)
+        self.keeping.finish_write(wanted)
 
     def _majority_round(self, make_round: Callable[[], Round], body: Any) -> Coro[Round]:
         """Repeats a round to all voting replicas until a majority agrees. Raises SteppedDown."""
@@ -110,11 +114,11 @@
         ):
             yield
 
-    def tell(self, number: int, kind: str, body: Any) -> Coro[Answer | None]:
+    def send_call(self, number: int, kind: str, body: Any) -> Coro[Answer | None]:
         """Sends an effect of the work. Raises SteppedDown; ValueError if the lease protocol uses `kind`."""
-        if kind in GROUND:
+        if kind in RESERVED_KINDS:
             raise ValueError(
-                f"a work can't send calls of kind {kind!r}; reserved kinds: {', '.join(sorted(GROUND))}"
+                f"a work can't send calls of kind {kind!r}; reserved kinds: {', '.join(sorted(RESERVED_KINDS))}"
             )
         return (yield from self.effect(number, kind, body))
 
--- a/stackpitch/duties/carrier/voter_service.py
+++ b/stackpitch/duties/carrier/voter_service.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from stackpitch.duties.calls import Answer, Call, raw
+from stackpitch.duties.calls import Answer, Call, encode_body
 from stackpitch.duties.carrier.config import DutiesConfig
 from stackpitch.duties.carrier.peer_calls import PeerCalls
 from stackpitch.duties.ownership.errors import DiskFailed, FileOlder, MajorityLost, VoterError
@@ -16,7 +16,7 @@
 from stackpitch.duties.ownership.terms import owner_of
 from stackpitch.duties.ownership.vacancy import CANDIDATE_SPACING, VacancyNotifier, candidate_order
 from stackpitch.duties.ownership.voter import Promise, VotingReplica
-from stackpitch.duties.record.register import Kept
+from stackpitch.duties.record.register import RecordValue
 from stackpitch.loop import SECOND, Coro, Group, Semaphore, Task, Time, World
 
 # A separate queue of blocking calls, so that votes don't wait behind writes of gigabytes of weights.
@@ -42,7 +42,11 @@
     serial: int
 
 
-LEASE, KEPT, STATE = msgspec.json.Decoder(Lease), msgspec.json.Decoder(Kept), msgspec.json.Decoder(State)
+LEASE, KEPT, STATE = (
+    msgspec.json.Decoder(Lease),
+    msgspec.json.Decoder(RecordValue),
+    msgspec.json.Decoder(State),
+)
 PROMISE = msgspec.json.Decoder(Promise)
 
 
@@ -204,8 +208,8 @@
             if not self.opened:
                 return Answer("not open yet")
             if call.duty:
-                return Answer("yes", body=raw(self.store.promises.get(call.duty, Promise())))
-            return Answer("yes", body=raw(self.state(call.sender)))
+                return Answer("yes", body=encode_body(self.store.promises.get(call.duty, Promise())))
+            return Answer("yes", body=encode_body(self.state(call.sender)))
         if not self.joined:
             return Answer("not voting yet")
         yield from self.call_lock.acquire()
@@ -220,7 +224,7 @@
         finally:
             self.call_lock.release()
         if call.kind == "lease" and answer.yes:
-            return Answer("yes", answer.stamp, raw(Given(self.store.durable_serial)))
+            return Answer("yes", answer.stamp, encode_body(Given(self.store.durable_serial)))
         return answer
 
     def _decide(self, call: Call) -> Answer:
--- a/stackpitch/duties/ownership/voter.py
+++ b/stackpitch/duties/ownership/voter.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from stackpitch.duties.calls import Answer, Stamp, raw
+from stackpitch.duties.calls import Answer, Stamp, encode_body
 from stackpitch.duties.ownership.lease import voter_lease_duration
-from stackpitch.duties.record.register import LARGEST, Kept
+from stackpitch.duties.record.register import MAX_VALUE_BYTES, RecordValue
 from stackpitch.loop import Time
 
 
@@ -19,7 +19,7 @@
     """For one duty: no grant and no write under a term below `stamp`. `kept` is the duty's record."""
 
     stamp: Stamp = Stamp()
-    kept: Kept = Kept()
+    kept: RecordValue = RecordValue()
 
 
 class Refusal(msgspec.Struct, frozen=True):
@@ -95,7 +95,7 @@
         if stamp.term < known.term or (stamp.term == known.term and stamp != known):
             return Answer("older term", known)
         if remaining := self.lease_remaining(now, duty, stamp):
-            return Answer("leased", known, raw(Refusal(remaining)))
+            return Answer("leased", known, encode_body(Refusal(remaining)))
         return None
 
     def pre_vote(self, now: Time, duty: str, stamp: Stamp, lease: Time) -> Answer:
@@ -138,13 +138,13 @@
             return refusal
         kept = self.promise_of(duty).kept
         self._set_promise(duty, Promise(stamp, kept))
-        return Answer("yes", stamp, raw(kept))
+        return Answer("yes", stamp, encode_body(kept))
 
-    def write(self, duty: str, stamp: Stamp, kept: Kept) -> Answer:
+    def write(self, duty: str, stamp: Stamp, kept: RecordValue) -> Answer:
         """Replaces the record; refused under an older term, if too large or if older than the record."""
         if (refusal := self._refusal_if_fenced(duty, stamp)) is not None:
             return refusal
-        if len(kept.value) > LARGEST:
+        if len(kept.value) > MAX_VALUE_BYTES:
             return Answer("record too large", stamp)
         if kept.stamp != stamp or kept.order < self.promise_of(duty).kept.order:
             return Answer("older write", stamp)  # a repeat, or overtaken by a later write of the same owner
--- a/tests/test_expect.py
+++ b/tests/test_expect.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 
 from stackpitch.brain import Brain, Dispatcher
-from stackpitch.cli.expect import books, configuration
+from stackpitch.cli.expect import read_book, read_configuration
 from stackpitch.expect import mutate, report
 from stackpitch.expect import syntax as s
 from stackpitch.expect.book import Book
@@ -36,7 +36,7 @@
 
 def load_set(name):
     """The configuration and the book of a starter set."""
-    return configuration(STARTER_SETS / name / "gateway.jsonnet", {}, None), books(
+    return read_configuration(STARTER_SETS / name / "gateway.jsonnet", {}, None), read_book(
         (STARTER_SETS / "common.expect", STARTER_SETS / name)
     )
 
@@ -535,7 +535,7 @@
     path.write_bytes(HOSTILE[name])
     begun = time.monotonic()
     with pytest.raises(BadStatement) as error:
-        books((path,))
+        read_book((path,))
     took = time.monotonic() - begun
     assert took < 1 and "\n" not in str(error.value) and len(str(error.value)) < 900
 
