--- a/stackpitch/duties/weights/grants/grant.py
+++ b/stackpitch/duties/weights/grants/grant.py
@@ -1,6 +1,7 @@
 """The form of a grant, and the clock it runs out by.
 
-Only durations are trusted, up to `DRIFT`. A receiver puts a reading of its own clock, the mark, into all it says; a grant
+Only durations are trusted, up to `CLOCK_DRIFT_DIVISOR`. A receiver puts a reading of its own clock, the mark,
+into all it says; a grant
 brings the newest mark back, with the time since the owner heard it (`age`). The owner sent the grant no earlier than
 `age` after the mark, so one that ends at mark + age + lasts on the receiver's clock ends, on the owner's, no later than
 planned + lasts + the drift over age + lasts: whatever the network does to it, delay, repetition and reordering included,
@@ -14,9 +15,9 @@
 from stackpitch.duties.calls import Stamp
 from stackpitch.loop import SECOND, Time
 
-DRIFT = 100  # one in so many: what two clocks may differ by in rate
-MOST_LASTS: Time = 10 * SECOND
-MOST_AGE: Time = 3 * SECOND  # an older mark carries no grant: whoever sent it counts as gone
+CLOCK_DRIFT_DIVISOR = 100  # one in so many: what two clocks may differ by in rate
+MAX_GRANT_DURATION: Time = 10 * SECOND
+MAX_MARK_AGE: Time = 3 * SECOND  # an older mark carries no grant: whoever sent it counts as gone
 
 
 class Mark(msgspec.Struct, frozen=True):
@@ -43,8 +44,8 @@
     lane: Lane
     serial: Annotated[int, msgspec.Meta(ge=1)]  # rises within a term
     mark: Mark
-    age: Annotated[Time, msgspec.Meta(ge=0, le=MOST_AGE)]
-    lasts: Annotated[Time, msgspec.Meta(ge=0, le=MOST_LASTS)]
+    age: Annotated[Time, msgspec.Meta(ge=0, le=MAX_MARK_AGE)]
+    lasts: Annotated[Time, msgspec.Meta(ge=0, le=MAX_GRANT_DURATION)]
     rate: Annotated[int, msgspec.Meta(ge=0, le=1 << 40)]  # bytes a second
     model: str = ""
     version: str = ""
@@ -55,19 +56,19 @@
     path: Annotated[str, msgspec.Meta(max_length=1024, pattern=r"^(/[!-~]*)?\Z")] = ""
 
 
-def slack(age: Time, lasts: Time) -> Time:
+def drift_allowance(age: Time, lasts: Time) -> Time:
     """What drift can make of a grant's end on the owner's clock."""
-    return -(-(age + lasts) // DRIFT)
+    return -(-(age + lasts) // CLOCK_DRIFT_DIVISOR)
 
 
-def counted_until(planned: Time, grant: Grant) -> Time:
+def latest_end(planned: Time, grant: Grant) -> Time:
     """On the owner's clock: the receiver has surely stopped."""
-    return planned + grant.lasts + slack(grant.age, grant.lasts)
+    return planned + grant.lasts + drift_allowance(grant.age, grant.lasts)
 
 
-def longest(lasts: Time) -> Time:
+def max_remaining_time(lasts: Time) -> Time:
     """After the end of a term, how long its grants may still run on the clock of the next owner."""
-    return lasts + 2 * slack(MOST_AGE, lasts)
+    return lasts + 2 * drift_allowance(MAX_MARK_AGE, lasts)
 
 
 class Held(msgspec.Struct):
--- a/stackpitch/duties/weights/grants/shelf.py
+++ b/stackpitch/duties/weights/grants/grant_table.py
@@ -7,7 +7,7 @@
 MOST_LANES = 4096  # two for each source: a bound against a call that went wrong
 
 
-class Shelf:
+class GrantTable:
     """`serials` and `held` are emptied by a higher stamp; `held` by time too."""
 
     def __init__(self, gateway: int, start: int) -> None:
@@ -26,7 +26,7 @@
             self.serials.clear()
         return True
 
-    def take(self, stamp: Stamp, grant: Grant, now: Time) -> str:
+    def accept(self, stamp: Stamp, grant: Grant, now: Time) -> str:
         """ "yes", or why not."""
         if not self.fence(stamp):
             return "older term"
@@ -48,12 +48,12 @@
             self.held[lane] = Held(stamp, grant, ends)
         return "yes"
 
-    def running(self, now: Time) -> list[Held]:
+    def active(self, now: Time) -> list[Held]:
         for lane in [lane for lane, one in self.held.items() if one.ends <= now]:
             del self.held[lane]
         return list(self.held.values())
 
-    def done(self, lane: Lane, serial: int) -> None:
+    def finish(self, lane: Lane, serial: int) -> None:
         """All its pieces are there, or its source failed."""
         if (one := self.held.get(lane)) is not None and one.grant.serial == serial:
             del self.held[lane]
--- a/stackpitch/duties/weights/grants/pace.py
+++ b/stackpitch/duties/weights/grants/rate_limiter.py
@@ -1,14 +1,14 @@
-"""How fast a grant may be used: a bucket that fills at its rate and holds `BURST` of it. Pure."""
+"""How fast a grant may be used: a bucket that fills at its rate and holds `BURST_TIME` of it. Pure."""
 
 from stackpitch.loop import MS, SECOND, Time
 
-BURST: Time = (
+BURST_TIME: Time = (
     100 * MS
 )  # a lane takes at most so much of its rate at once; so the burst of a link is that of its capacity
 SLICE: Time = 40 * MS  # asked for at a time at least, so that calls stay few
 
 
-class Pace:
+class RateLimiter:
     """Empty at first: what an earlier grant of the lane left over is not carried on."""
 
     def __init__(self, rate: int, now: Time, ends: Time) -> None:
@@ -18,7 +18,7 @@
     def _fill(self, now: Time) -> None:
         upto = min(now, self.ends)
         if upto > self.at:
-            self.had = min(self.had + self.rate * (upto - self.at), max(self.rate * BURST, SECOND))
+            self.had = min(self.had + self.rate * (upto - self.at), max(self.rate * BURST_TIME, SECOND))
             self.at = upto
 
     def take(self, now: Time, most: int) -> int:
@@ -34,7 +34,7 @@
         self.had -= given * SECOND
         return given
 
-    def when(self, now: Time, most: int) -> Time | None:
+    def available_at(self, now: Time, most: int) -> Time | None:
         """When `take` is worth asking again; None: not within this grant."""
         self._fill(now)
         worth = min(most, max(1, self.rate * SLICE // SECOND))
--- a/stackpitch/duties/weights/owner.py
+++ b/stackpitch/duties/weights/owner.py
@@ -12,7 +12,7 @@
 from stackpitch.duties.calls import Answer
 from stackpitch.duties.weights import forms
 from stackpitch.duties.weights.errors import NoWanted
-from stackpitch.duties.weights.grants.grant import MOST_LASTS, Grant, longest
+from stackpitch.duties.weights.grants.grant import MAX_GRANT_DURATION, Grant, max_remaining_time
 from stackpitch.duties.weights.plan.planner import Planner
 from stackpitch.duties.weights.upkeep import Upkeep
 from stackpitch.duties.weights.wanted import Wanted
@@ -65,7 +65,7 @@
                     "weights_record",
                     why=f"the record can't be read, the longest grant is waited out: {wrong}",
                 )
-                self.kept = Kept(MOST_LASTS, (UNKNOWN,))
+                self.kept = Kept(MAX_GRANT_DURATION, (UNKNOWN,))
         for _ in range(FILE):
             if self.file.current is None:
                 yield from self.world.sleep(IDLE)
@@ -86,7 +86,7 @@
             yield from self.tenure.keep(msgspec.msgpack.encode(kept))
             self.kept = kept
         if older != Kept():
-            self.settles = self.world.now() + longest(kept.lasts)
+            self.settles = self.world.now() + max_remaining_time(kept.lasts)
 
     def _loop(self, group: Group) -> Coro[None]:
         planner, upkeep = self.planner, self.upkeep
@@ -109,7 +109,7 @@
             if not self.news:
                 self.waiter = self.world.current
                 try:
-                    yield from self.world.sleep(TICK if busy or planner.lanes.sent else IDLE)
+                    yield from self.world.sleep(TICK if busy or planner.outstanding.sent else IDLE)
                 finally:
                     self.waiter = None
 
@@ -135,9 +135,9 @@
         answer = yield from self.tenure.tell(grant.lane.gateway, "grant", grant)
         self._heard(grant.lane.gateway, answer)
         if answer is not None and answer.yes:
-            planner.taken(grant)
+            planner.accepted(grant)
         else:
-            planner.missed(self.world.now(), grant, answer is not None)
+            planner.not_accepted(self.world.now(), grant, answer is not None)
 
     def _heard(self, number: int, answer: Answer | None) -> None:
         if answer is None or self.planner is None or self.upkeep is None:
--- a/stackpitch/duties/weights/plan/allocate.py
+++ b/stackpitch/duties/weights/plan/allocation.py
@@ -10,9 +10,9 @@
 from stackpitch.duties.weights.grants.grant import Lane
 from stackpitch.duties.weights.links import Key, Links
 from stackpitch.duties.weights.manifest import Manifest
-from stackpitch.duties.weights.plan.lanes import Lanes
 from stackpitch.duties.weights.plan.needs import Need
-from stackpitch.duties.weights.plan.sites import LEAST, Heard, Sites, Version
+from stackpitch.duties.weights.plan.outstanding import OutstandingGrants
+from stackpitch.duties.weights.plan.site_states import LEAST, GatewayState, SiteStates, Version
 from stackpitch.duties.weights.wanted import ORIGIN
 from stackpitch.loop import SECOND, Time
 
@@ -34,8 +34,8 @@
     """One round. Made anew for each plan."""
 
     links: Links
-    sites: Sites
-    lanes: Lanes
+    sites: SiteStates
+    lanes: OutstandingGrants
     now: Time
     lasts: Time
     free: dict[Key, int] = field(default_factory=dict)
@@ -46,7 +46,7 @@
         default_factory=dict
     )  # pieces that a lane of this round fetches
     wishes: dict[Lane, Wish] = field(default_factory=dict)
-    holders: dict[Version, list[tuple[str, Heard]]] = field(default_factory=dict)
+    holders: dict[Version, list[tuple[str, GatewayState]]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.order = {site: number for number, site in enumerate(self.sites.wanted.sites)}
--- a/stackpitch/duties/weights/plan/needs.py
+++ b/stackpitch/duties/weights/plan/needs.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from stackpitch.duties.weights.manifest import Manifest
-from stackpitch.duties.weights.plan.sites import Heard, Sites, Version
+from stackpitch.duties.weights.plan.site_states import GatewayState, SiteStates, Version
 from stackpitch.duties.weights.wanted import Wanted
 from stackpitch.loop import Time
 
@@ -14,14 +14,14 @@
     version: Version
     manifest: Manifest
     missing: int  # a bit set of pieces
-    receiver: Heard
+    receiver: GatewayState
 
     @property
     def priority(self) -> int:
         return self.order[0]
 
 
-def needs(wanted: Wanted, sites: Sites, now: Time) -> list[Need]:
+def needs(wanted: Wanted, sites: SiteStates, now: Time) -> list[Need]:
     """Of sites whose receiver is heard, can write, and knows the manifest; in strict order."""
     found = []
     for name, model in wanted.models.items():
--- a/stackpitch/duties/weights/plan/lanes.py
+++ b/stackpitch/duties/weights/plan/outstanding.py
@@ -8,13 +8,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from stackpitch.duties.weights.grants.grant import Grant, Lane, counted_until
+from stackpitch.duties.weights.grants.grant import Grant, Lane, latest_end
 from stackpitch.duties.weights.links import Key
 from stackpitch.loop import Time
 
 
 @dataclass(slots=True)
-class Sent:
+class SentGrant:
     grant: Grant
     until: Time  # on the owner's clock
     path: tuple[Key, ...]
@@ -22,30 +22,30 @@
     lost: bool = False  # no answer came: it may run or not
 
 
-class Lanes:
+class OutstandingGrants:
     """`sent` is emptied by time: each grant goes when it has run out."""
 
     def __init__(self) -> None:
-        self.sent: dict[Lane, list[Sent]] = {}
+        self.sent: dict[Lane, list[SentGrant]] = {}
 
     def add(self, now: Time, grant: Grant, path: tuple[Key, ...]) -> None:
-        self.sent.setdefault(grant.lane, []).append(Sent(grant, counted_until(now, grant), path, now))
+        self.sent.setdefault(grant.lane, []).append(SentGrant(grant, latest_end(now, grant), path, now))
 
-    def taken(self, grant: Grant) -> None:
+    def accepted(self, grant: Grant) -> None:
         """The receiver has it."""
         left = [one for one in self.sent.get(grant.lane, ()) if one.grant.serial >= grant.serial]
         self._keep(grant.lane, left)
 
-    def missed(self, grant: Grant) -> None:
+    def mark_lost(self, grant: Grant) -> None:
         """No answer: it goes on counting, and is sent anew."""
         for one in self.sent.get(grant.lane, ()):
             one.lost = one.lost or one.grant.serial == grant.serial
 
-    def over(self, lane: Lane, serial: int) -> None:
+    def finished(self, lane: Lane, serial: int) -> None:
         """The receiver has done with it and all before."""
         self._keep(lane, [one for one in self.sent.get(lane, ()) if one.grant.serial > serial])
 
-    def _keep(self, lane: Lane, left: list[Sent]) -> None:
+    def _keep(self, lane: Lane, left: list[SentGrant]) -> None:
         if left:
             self.sent[lane] = left
         else:
@@ -56,7 +56,7 @@
             if any(one.until <= now for one in sent):
                 self._keep(lane, [one for one in sent if one.until > now])
 
-    def newest(self, lane: Lane) -> Sent | None:
+    def newest(self, lane: Lane) -> SentGrant | None:
         sent = self.sent.get(lane)
         return sent[-1] if sent else None
 
@@ -72,12 +72,12 @@
                 found[key] = found.get(key, 0) + rate
         return found
 
-    def next(self) -> Time | None:
+    def next_expiry(self) -> Time | None:
         """When the first runs out."""
         return min((one.until for sent in self.sent.values() for one in sent), default=None)
 
 
-def _largest(sent: Iterable[Sent]) -> Iterable[tuple[Key, int]]:
+def _largest(sent: Iterable[SentGrant]) -> Iterable[tuple[Key, int]]:
     """By link, as a lane's older grants may go by paths from before an edit of the links."""
     found: dict[Key, int] = {}
     for one in sent:
--- a/stackpitch/duties/weights/plan/sites.py
+++ b/stackpitch/duties/weights/plan/site_states.py
@@ -5,7 +5,7 @@
 
 from stackpitch.duties.weights import forms
 from stackpitch.duties.weights.forms import Report
-from stackpitch.duties.weights.grants.grant import MOST_AGE, Lane, Mark
+from stackpitch.duties.weights.grants.grant import MAX_MARK_AGE, Lane, Mark
 from stackpitch.duties.weights.links import Links
 from stackpitch.duties.weights.wanted import Wanted
 from stackpitch.loop import SECOND, Time
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Heard:
+class GatewayState:
     """One gateway. Replaced by its next report."""
 
     report: Report
@@ -38,15 +38,15 @@
         )
 
 
-class Sites:
+class SiteStates:
     """`heard` has at most one entry for each gateway that the wanted file names; `limits` one for each lane's pair of
     site and source that was slow, emptied as it is not slow any more, or by `forget`. `waiting`: revenue at each gateway,
     as it said with the last announcement; kept by the work."""
 
     def __init__(self, wanted: Wanted, waiting: Mapping[int, float] = NOTHING) -> None:
         self.wanted, self.waiting = wanted, waiting
-        self.home = {number: name for name, site in wanted.sites.items() for number in site.gateways}
-        self.heard: dict[int, Heard] = {}
+        self.site_of = {number: name for name, site in wanted.sites.items() for number in site.gateways}
+        self.heard: dict[int, GatewayState] = {}
         self.chosen: dict[str, int] = {}  # the receiver of each site
         self.limits: dict[tuple[str, str], int] = {}  # bytes a second that a slow pair is trusted with
         self.misses: dict[
@@ -58,24 +58,26 @@
 
     def renew(self, wanted: Wanted) -> None:
         self.wanted = wanted
-        self.home = {number: name for name, site in wanted.sites.items() for number in site.gateways}
+        self.site_of = {number: name for name, site in wanted.sites.items() for number in site.gateways}
         heard, self.heard = self.heard, {}
         for one in heard.values():
             self.report(one.at, one.report)
-        self.chosen = {site: number for site, number in self.chosen.items() if self.home.get(number) == site}
+        self.chosen = {
+            site: number for site, number in self.chosen.items() if self.site_of.get(number) == site
+        }
         self.limits.clear()
-        self.misses = {number: one for number, one in self.misses.items() if number in self.home}
+        self.misses = {number: one for number, one in self.misses.items() if number in self.site_of}
 
     def report(self, now: Time, one: Report) -> bool:
         """False if it is not of these sites, or older than what is known."""
-        if self.home.get(one.gateway) != one.site:
+        if self.site_of.get(one.gateway) != one.site:
             return False
         old = self.heard.get(one.gateway)
         if old is not None and old.mark.start == one.mark.start and old.mark.at > one.mark.at:
             return False
         if old is not None and old.mark.start != one.mark.start:
             self.misses.pop(one.gateway, None)  # another process
-        heard = Heard(one, now)
+        heard = GatewayState(one, now)
         for have in one.have:
             version, model = (have.model, have.version), self.wanted.models.get(have.model)
             if model is None or have.version != model.version or have.whole != model.manifest.whole:
@@ -90,16 +92,16 @@
         self.heard[one.gateway] = heard
         return True
 
-    def fresh(self, number: int, now: Time) -> Heard | None:
+    def recent(self, number: int, now: Time) -> GatewayState | None:
         one = self.heard.get(number)
-        return one if one is not None and now - one.at < MOST_AGE else None
+        return one if one is not None and now - one.at < MAX_MARK_AGE else None
 
-    def last(self, site: str) -> Heard | None:
+    def last_receiver(self, site: str) -> GatewayState | None:
         """The receiver that was chosen last, as it was heard last."""
         number = self.chosen.get(site)
         return None if number is None else self.heard.get(number)
 
-    def missed(self, number: int, now: Time) -> None:
+    def record_timeout(self, number: int, now: Time) -> None:
         """No answer to a grant. It gets no other before it is heard, nor, from the second on, for a while that doubles:
         what it is granted in vain is missing elsewhere, and one that speaks and can't hear would have it again and again."""
         count, at = self.misses.get(number, (0, now - FIRST_WAIT))
@@ -109,18 +111,20 @@
     def answered(self, number: int) -> None:
         self.misses.pop(number, None)
 
-    def reachable(self, heard: Heard, now: Time) -> bool:
+    def reachable(self, heard: GatewayState, now: Time) -> bool:
         count, at = self.misses.get(heard.report.gateway, (0, 0))
         wait = min(LONGEST_WAIT, FIRST_WAIT << min(count, 10)) if count > 1 else 0
         return not count or (heard.at > at and now >= at + wait)
 
-    def receiver(self, site: str, now: Time) -> Heard | None:
+    def receiver(self, site: str, now: Time) -> GatewayState | None:
         """The one chosen before while it is heard; else the one that has most, the first listed of several."""
         number = self.chosen.get(site)
-        if number is not None and (one := self.fresh(number, now)) is not None:
+        if number is not None and (one := self.recent(number, now)) is not None:
             return one
         there = [
-            one for number in self.wanted.sites[site].gateways if (one := self.fresh(number, now)) is not None
+            one
+            for number in self.wanted.sites[site].gateways
+            if (one := self.recent(number, now)) is not None
         ]
         if not there:
             return None
@@ -128,12 +132,14 @@
         self.chosen[site] = best.report.gateway
         return best
 
-    def revenue(self, site: str, receiver: Heard) -> float:
+    def revenue(self, site: str, receiver: GatewayState) -> float:
         """What waits at all gateways of the site: the receiver's as it said last, the others' at the last announcement."""
         others = (number for number in self.wanted.sites[site].gateways if number != receiver.report.gateway)
         return receiver.report.revenue + sum(self.waiting.get(number, 0.0) for number in others)
 
-    def judge(self, links: Links, lane: Lane, serial: int, rate: int, took: int, lasted: Time) -> None:
+    def update_speed_limit(
+        self, links: Links, lane: Lane, serial: int, rate: int, took: int, lasted: Time
+    ) -> None:
         """A grant that ran for long enough to say how fast the pair really is."""
         if self.judged.get(lane) == serial or not {lane.source, lane.site} <= links.behind.keys():
             return
--- a/stackpitch/duties/weights/receiving/lanes.py
+++ b/stackpitch/duties/weights/receiving/lanes.py
@@ -8,7 +8,7 @@
 from stackpitch.duties.weights.errors import DiskTrouble, Gone, SourceChanged, SourceFailed
 from stackpitch.duties.weights.forms import Ran
 from stackpitch.duties.weights.grants.grant import Held, Lane
-from stackpitch.duties.weights.grants.pace import Pace
+from stackpitch.duties.weights.grants.rate_limiter import RateLimiter
 from stackpitch.duties.weights.manifest import Manifest
 from stackpitch.duties.weights.placing.copy import Copy
 from stackpitch.duties.weights.placing.disk import QUEUE
@@ -88,8 +88,8 @@
             del self.waiting[lane]
 
     def _held(self, lane: Lane) -> Held | None:
-        self.owner.shelf.running(self.world.now())
-        return self.owner.shelf.held.get(lane)
+        self.owner.grants.active(self.world.now())
+        return self.owner.grants.held.get(lane)
 
     def _lane(self, lane: Lane) -> Coro[None]:
         source: Source | None = None
@@ -116,7 +116,7 @@
         grant, owner, now = held.grant, self.owner, self.world.now()
         use = self.uses[grant.lane] = Use(grant.serial, now)
         entry = owner.entries.get((grant.model, grant.version))
-        pace = Pace(grant.rate, now, held.ends)
+        limiter = RateLimiter(grant.rate, now, held.ends)
         try:
             while entry is not None and self._held(grant.lane) is held:
                 claimed = entry.pieces.claim(grant.pieces, grant.lane)
@@ -128,9 +128,9 @@
                     continue
                 piece, now = claimed[0], self.world.now()
                 at, rest = entry.pieces.rest(piece)
-                size = pace.take(now, min(rest, MOST_SLICE))
+                size = limiter.take(now, min(rest, MOST_SLICE))
                 if not size:
-                    when = pace.when(now, min(rest, MOST_SLICE))
+                    when = limiter.available_at(now, min(rest, MOST_SLICE))
                     yield from self._wait(grant.lane, (held.ends if when is None else when) - now)
                     continue
                 data = yield from source.fetch(grant.path, at, size, entry.manifest.size)
@@ -149,8 +149,8 @@
             use.ended = self.world.now()
             if entry is not None:
                 entry.pieces.release(grant.lane)
-            if self.owner.shelf.held.get(grant.lane) is held:
-                self.owner.shelf.done(grant.lane, grant.serial)
+            if self.owner.grants.held.get(grant.lane) is held:
+                self.owner.grants.finish(grant.lane, grant.serial)
             owner.changed = True
 
     def _came(self, entry: Entry, piece: int, data: bytes, source: Source) -> Coro[None]:
@@ -164,7 +164,7 @@
             for name in sorted(givers) if len(givers) == 1 else ():  # of several, nobody knows which
                 if owner.sources.bad_piece(name, *entry.version, self.world.now()):
                     owner.said(errors.SourceSpoilt(*entry.version, name))
-                    owner.shelf.held.clear()  # no more by what runs: the owner grants from another one
+                    owner.grants.held.clear()  # no more by what runs: the owner grants from another one
             return
         owner.sources.good_piece(source.name)
         if entry.pieces.have == entry.manifest.full and owner.group is not None:
--- a/stackpitch/duties/weights/receiving/receiver.py
+++ b/stackpitch/duties/weights/receiving/receiver.py
@@ -12,7 +12,7 @@
 from stackpitch.duties.weights import forms
 from stackpitch.duties.weights.errors import DiskTrouble, VersionChanged, WeightsError
 from stackpitch.duties.weights.grants.grant import Grant, Mark
-from stackpitch.duties.weights.grants.shelf import Shelf
+from stackpitch.duties.weights.grants.grant_table import GrantTable
 from stackpitch.duties.weights.manifest import Manifest
 from stackpitch.duties.weights.placing.copy import Copy
 from stackpitch.duties.weights.placing.disk import QUEUE
@@ -56,7 +56,7 @@
         log: Log,
     ) -> None:
         self.world, self.folder, self.engines, self.revenue, self.log = world, folder, engines, revenue, log
-        self.shelf, self.sources, self.site = Shelf(number, start), Sources(), ""
+        self.grants, self.sources, self.site = GrantTable(number, start), Sources(), ""
         self.entries: dict[tuple[str, str], Entry] = {}
         self.disk = SiteDisk(world, folder)
         self.placings: dict[
@@ -72,7 +72,7 @@
 
     def place(self, stamp: Stamp, asked: forms.Place) -> str:
         version = asked.model, asked.version
-        if not self.shelf.fence(stamp) or self.group is None:
+        if not self.grants.fence(stamp) or self.group is None:
             return "not now"
         entry = self.entries.get(version)
         if entry is not None:
@@ -116,8 +116,8 @@
             entry.ready, self.changed = False, True  # another gateway of the site may have fetched meanwhile
             self.group.spawn(self.opening.again(entry), f"weights {grant.model}")
             return "looks again"
-        word = self.shelf.take(stamp, grant, now)
-        if entry is not None and (held := self.shelf.held.get(grant.lane)) is not None:
+        word = self.grants.accept(stamp, grant, now)
+        if entry is not None and (held := self.grants.held.get(grant.lane)) is not None:
             entry.used = max(entry.used, held.ends)
         if word == "yes" and self.group is not None:
             self.lanes.run(self.group, grant.lane)
@@ -128,7 +128,7 @@
             self.entries.get((asked.model, asked.version)),
             self.disk.releases.get(asked.model, Released()),
         )
-        if not self.shelf.fence(stamp) or (stamp, asked.serial) < (last.stamp, last.serial):
+        if not self.grants.fence(stamp) or (stamp, asked.serial) < (last.stamp, last.serial):
             return "older"
         if asked.version and (entry is None or not entry.copy.placed):
             return "not placed"
@@ -226,7 +226,7 @@
     def failed(self, wrong: DiskTrouble) -> None:
         """Nothing more is fetched until the disk has had time; what runs ends."""
         self.trouble, self.trouble_until, self.changed = wrong, self.world.now() + WAIT, True
-        self.shelf.held.clear()
+        self.grants.held.clear()
         self.said(wrong)
 
     def states(self) -> dict[str, int]:
@@ -259,8 +259,8 @@
         self.changed = False
         return forms.Report(
             self.site,
-            self.shelf.gateway,
-            Mark(self.shelf.start, now),
+            self.grants.gateway,
+            Mark(self.grants.start, now),
             self.revenue(),
             tuple(have[:1024]),
             self.lanes.ran(now),
--- a/stackpitch/duties/weights/upkeep.py
+++ b/stackpitch/duties/weights/upkeep.py
@@ -11,7 +11,7 @@
 
 from stackpitch.duties.weights import forms
 from stackpitch.duties.weights.plan.planner import Planner
-from stackpitch.duties.weights.plan.sites import Heard
+from stackpitch.duties.weights.plan.site_states import GatewayState
 from stackpitch.loop import SECOND, Coro, Group, Time
 
 MOST_CALLS = 64  # under way at once, beside grants
@@ -42,12 +42,14 @@
         for name, model in planner.wanted.models.items():
             for site in model.sites:
                 shall[site].append(name)
-        rest = not planner.silent and all(self._rests(site, names) for site, names in shall.items())
+        rest = not planner.unconfirmed and all(self._rests(site, names) for site, names in shall.items())
         for site, names in shall.items():
             if (heard := planner.sites.receiver(site, now)) is not None:
                 self._site(group, heard, names, now)
             self._questions(group, site, heard, rest, now)
-        for number in sorted(one for one in planner.silent if one >= 0 and one not in planner.sites.home):
+        for number in sorted(
+            one for one in planner.unconfirmed if one >= 0 and one not in planner.sites.site_of
+        ):
             self._ask(group, number, "", now, ASKED)  # of an older file; they only have to hear this term
         return not rest
 
@@ -60,14 +62,14 @@
     def _rests(self, site: str, names: list[str]) -> bool:
         """By what was heard last, however long ago."""
         planner = self.planner
-        last = planner.sites.last(site)
+        last = planner.sites.last_receiver(site)
         if last is None or self.tries.get(last.report.gateway, 0) >= GIVEN_UP:
             return all(
                 self.tries.get(number, 0) >= GIVEN_UP for number in planner.wanted.sites[site].gateways
             )
         return all((name, planner.wanted.models[name].version) in last.released for name in names)
 
-    def _site(self, group: Group, heard: Heard, names: list[str], now: Time) -> None:
+    def _site(self, group: Group, heard: GatewayState, names: list[str], now: Time) -> None:
         for name in names:
             model = self.planner.wanted.models[name]
             version, manifest = (name, model.version), model.manifest
@@ -95,11 +97,11 @@
             if one.model not in names:
                 self._tell(group, heard, "service", forms.Release(one.model, ""), now, 5 * AGAIN)
 
-    def _questions(self, group: Group, site: str, heard: Heard | None, rest: bool, now: Time) -> None:
-        last = heard if heard is not None else self.planner.sites.last(site)
+    def _questions(self, group: Group, site: str, heard: GatewayState | None, rest: bool, now: Time) -> None:
+        last = heard if heard is not None else self.planner.sites.last_receiver(site)
         at_rest = rest and last is not None and self.tries.get(last.report.gateway, 0) < GIVEN_UP
         for number in self.planner.wanted.sites[site].gateways:
-            if number in self.planner.silent:
+            if number in self.planner.unconfirmed:
                 self._ask(group, number, site, now, ASKED)
             elif at_rest and last is not None:
                 if number == last.report.gateway and now - last.at >= REST:
@@ -115,7 +117,13 @@
             self._spawn(group, number, "begin", forms.Begin(site))
 
     def _tell(
-        self, group: Group, heard: Heard, kind: str, body: forms.Place | forms.Release, now: Time, every: Time
+        self,
+        group: Group,
+        heard: GatewayState,
+        kind: str,
+        body: forms.Place | forms.Release,
+        now: Time,
+        every: Time,
     ) -> None:
         number = heard.report.gateway
         key = number, kind, body.model
--- a/stackpitch/duties/weights/work.py
+++ b/stackpitch/duties/weights/work.py
@@ -101,7 +101,7 @@
             return Answer("a term is needed")
         if kind == "begin":
             begin = decode(body, type=forms.Begin)
-            word = "yes" if self.receiver.shelf.fence(stamp) else "older term"
+            word = "yes" if self.receiver.grants.fence(stamp) else "older term"
             if word == "yes":
                 self.receiver.site = begin.site
         elif kind == "place":
@@ -117,7 +117,7 @@
             word = yield from self.receiver.release(stamp, decode(body, type=forms.Release))
         else:
             return Answer("not known")
-        return Answer(word, self.receiver.shelf.stamp, raw(self.receiver.report()))
+        return Answer(word, self.receiver.grants.stamp, raw(self.receiver.report()))
 
     def _neighbour(self, address: str) -> int:
         if not address[1:].isdecimal() or int(address[1:]) >= self.ground.gateways:
--- a/stackpitch/rehearse/broken/weights.py
+++ b/stackpitch/rehearse/broken/weights.py
@@ -7,12 +7,12 @@
 
 def unpaced() -> None:
     """A receiver takes all that it is granted at once: grants' rates count for nothing."""
-    from stackpitch.duties.weights.grants.pace import Pace
+    from stackpitch.duties.weights.grants.rate_limiter import RateLimiter
 
-    def all_of_it(self: Pace, now: Time, most: int) -> int:
+    def all_of_it(self: RateLimiter, now: Time, most: int) -> int:
         return most if now < self.ends else 0
 
-    Pace.take = all_of_it  # type: ignore[method-assign]
+    RateLimiter.take = all_of_it  # type: ignore[method-assign]
 
 
 def classless() -> None:
--- a/stackpitch/rehearse/sites.py
+++ b/stackpitch/rehearse/sites.py
@@ -9,10 +9,10 @@
 from stackpitch.duties.weights import forms
 from stackpitch.duties.weights.forms import Have, Ran, Report, Spoilt
 from stackpitch.duties.weights.grants.grant import Grant, Lane, Mark
-from stackpitch.duties.weights.grants.shelf import Shelf
+from stackpitch.duties.weights.grants.grant_table import GrantTable
 from stackpitch.duties.weights.links import Key, Links
 from stackpitch.duties.weights.plan.planner import Planner
-from stackpitch.duties.weights.plan.sites import Version
+from stackpitch.duties.weights.plan.site_states import Version
 from stackpitch.duties.weights.wanted import ORIGIN, Wanted
 from stackpitch.loop import MS, SECOND, Random, Time
 
@@ -39,7 +39,7 @@
     revenue: float = 0.0
 
     def __post_init__(self) -> None:
-        self.shelf = Shelf(self.number, self.start)
+        self.grants = GrantTable(self.number, self.start)
 
     def clock(self, now: Time) -> Time:
         return self.offset + now + now * self.drift // 1000
@@ -93,7 +93,7 @@
         """A new owner, who knows what the record says of the one before."""
         self.stamp = Stamp(self.stamp.term + 1, self.stamp.term + 1)
         self.owner = Planner(self.wanted, self.now, str, self.kept)
-        self.kept = (self.owner.lasts, frozenset(self.gateways))
+        self.kept = (self.owner.grant_duration, frozenset(self.gateways))
         for gateway in self.gateways.values():
             self._call(gateway, self.owner, self.stamp, None)
         return self.owner
@@ -127,9 +127,9 @@
             if gateway.dead or gateway.deaf or self.gateways[gateway.number] is not gateway:
                 return
             if grant is None:
-                word = "yes" if gateway.shelf.fence(stamp) else "older term"
+                word = "yes" if gateway.grants.fence(stamp) else "older term"
             else:
-                word = gateway.shelf.take(stamp, grant, gateway.clock(self.now))
+                word = gateway.grants.accept(stamp, grant, gateway.clock(self.now))
                 if word == "yes" and grant.rate:  # a receiver tells nothing of a stop
                     gateway.ran[grant.lane] = Ran(grant.lane, grant.serial, 0, 0)
             report = gateway.report(self.now, self.wanted)
@@ -142,14 +142,14 @@
             owner.confirmed(gateway.number)
             owner.report(self.now, report)
             if grant is not None and word == "yes":
-                owner.taken(grant)
+                owner.accepted(grant)
             elif grant is not None:
-                owner.missed(self.now, grant, True)
+                owner.not_accepted(self.now, grant, True)
 
         def missed() -> None:
             if not answered and self.owner is owner:
                 if grant is not None:
-                    owner.missed(self.now, grant, False)
+                    owner.not_accepted(self.now, grant, False)
                 else:
                     self._call(gateway, owner, stamp, None)
 
@@ -177,7 +177,7 @@
 
     def _report(self, gateway: Gateway) -> None:
         owner, report = self.owner, gateway.report(self.now, self.wanted)
-        gateway.ran = {lane: one for lane, one in gateway.ran.items() if lane in gateway.shelf.held}
+        gateway.ran = {lane: one for lane, one in gateway.ran.items() if lane in gateway.grants.held}
 
         def arrives() -> None:
             if owner is not None and owner is self.owner:
@@ -190,7 +190,7 @@
         rates: dict[Key, int] = {}
         for gateway in self.gateways.values():
             finished, busy = False, set[tuple[Version, int]]()
-            for held in () if gateway.dead else gateway.shelf.running(gateway.clock(self.now)):
+            for held in () if gateway.dead else gateway.grants.active(gateway.clock(self.now)):
                 grant = held.grant
                 for key in self.path(grant.lane.source, gateway.site):
                     rates[key] = rates.get(key, 0) + grant.rate
@@ -244,7 +244,7 @@
             grant.lane, grant.serial, ran.took + took // SECOND, ran.lasted + STEP, done
         )
         if done:
-            gateway.shelf.done(grant.lane, grant.serial)
+            gateway.grants.finish(grant.lane, grant.serial)
         return finished
 
     def bytes_over(self, link: str, model: str | None = None) -> int:
--- a/tests/test_announced.py
+++ b/tests/test_announced.py
@@ -10,7 +10,7 @@
 from stackpitch.duties.calls import raw
 from stackpitch.duties.carrier import Duties, Figures
 from stackpitch.duties.weights import forms
-from stackpitch.duties.weights.plan.sites import Heard, Sites
+from stackpitch.duties.weights.plan.site_states import GatewayState, SiteStates
 from stackpitch.duties.weights.settings import WeightsSettings
 from stackpitch.duties.weights.wanted import Wanted
 from stackpitch.duties.weights.work import WeightsWork
@@ -118,8 +118,8 @@
             },
         }
     )
-    sites = Sites(wanted, work.waiting)
-    heard = Heard(forms.Report("a", 1, forms.Mark(1, 0), 4.0), 0)
+    sites = SiteStates(wanted, work.waiting)
+    heard = GatewayState(forms.Report("a", 1, forms.Mark(1, 0), 4.0), 0)
     for number, revenue in ((1, 3.0), (2, 9.0), (3, 5.0)):
         work.announced(number, raw(forms.Present(revenue)))
     assert sites.revenue("a", heard) == 9.0, "the receiver's own as it said last, the other's as announced"
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -13,9 +13,17 @@
 from stackpitch.duties.weights import manifest as manifests
 from stackpitch.duties.weights.errors import WantedRejected
 from stackpitch.duties.weights.forms import Spoilt
-from stackpitch.duties.weights.grants.grant import DRIFT, MOST_AGE, Grant, Lane, Mark, counted_until, longest
-from stackpitch.duties.weights.grants.pace import BURST, Pace
-from stackpitch.duties.weights.grants.shelf import Shelf
+from stackpitch.duties.weights.grants.grant import (
+    CLOCK_DRIFT_DIVISOR,
+    MAX_MARK_AGE,
+    Grant,
+    Lane,
+    Mark,
+    latest_end,
+    max_remaining_time,
+)
+from stackpitch.duties.weights.grants.grant_table import GrantTable
+from stackpitch.duties.weights.grants.rate_limiter import BURST_TIME, RateLimiter
 from stackpitch.duties.weights.wanted import checked, read
 from stackpitch.loop import SECOND
 from stackpitch.rehearse.sites import Country, Gateway
@@ -200,7 +208,7 @@
                 case 7:
                     one.speed = chance.choice((0.01, 0.5, 1))
             assert not country.over, (seed, country.over[:3])
-            assert all(sent for sent in country.owner.lanes.sent.values())
+            assert all(sent for sent in country.owner.outstanding.sent.values())
     assert takeovers > 40
 
 
@@ -219,7 +227,7 @@
                 return
             running, rates, fetched = [], {}, {}
             for one in country.gateways.values():
-                for held in one.shelf.running(one.clock(country.now)):
+                for held in one.grants.active(one.clock(country.now)):
                     priority = country.wanted.models[held.grant.model].priority
                     running.append((one.site, held.grant))
                     for piece in held.grant.pieces:
@@ -287,21 +295,23 @@
 
 
 def test_a_grant_ends_by_the_receivers_own_mark_however_late_it_comes():
-    shelf, term = Shelf(3, 77), Stamp(2, 5)
-    assert shelf.take(term, given(1), 1100) == "yes" and [one.ends for one in shelf.running(1100)] == [11_050]
-    assert shelf.take(term, given(1), 1200) == "repeated", "a copy does not begin it anew"
-    assert shelf.take(term, given(3, lasts=5_000), 3000) == "yes" and [
-        one.ends for one in shelf.running(3000)
+    grants, term = GrantTable(3, 77), Stamp(2, 5)
+    assert grants.accept(term, given(1), 1100) == "yes" and [one.ends for one in grants.active(1100)] == [
+        11_050
+    ]
+    assert grants.accept(term, given(1), 1200) == "repeated", "a copy does not begin it anew"
+    assert grants.accept(term, given(3, lasts=5_000), 3000) == "yes" and [
+        one.ends for one in grants.active(3000)
     ] == [6_050]
-    assert shelf.take(term, given(2), 3100) == "repeated" and len(shelf.running(3100)) == 1, (
+    assert grants.accept(term, given(2), 3100) == "repeated" and len(grants.active(3100)) == 1, (
         "overtaken on its way"
     )
-    assert shelf.running(6_049) and not shelf.running(6_050)
-    assert shelf.take(term, given(4), 11_060) == "yes" and not shelf.running(11_060), (
+    assert grants.active(6_049) and not grants.active(6_050)
+    assert grants.accept(term, given(4), 11_060) == "yes" and not grants.active(11_060), (
         "it took longer than it lasts"
     )
-    assert shelf.take(term, given(5, mark=9000), 11_060) == "yes" and shelf.running(11_060)
-    assert shelf.take(term, given(6, rate=0), 11_070) == "yes" and not shelf.running(11_070), (
+    assert grants.accept(term, given(5, mark=9000), 11_060) == "yes" and grants.active(11_060)
+    assert grants.accept(term, given(6, rate=0), 11_070) == "yes" and not grants.active(11_070), (
         "a rate of 0 stops"
     )
 
@@ -319,11 +329,11 @@
     ],
 )
 def test_grants_that_are_not_taken(stamp, grant, word):
-    shelf = Shelf(3, 77)
-    assert shelf.take(Stamp(2, 5), given(1), 2000) == "yes"
-    assert shelf.take(stamp, grant, 2000) == word and len(shelf.running(2000)) == 1
-    assert shelf.take(Stamp(3, 1), given(1, lane=Lane("a", 3, 77, "b")), 2000) == "yes"
-    assert [one.grant.lane.source for one in shelf.running(2000)] == ["b"], (
+    grants = GrantTable(3, 77)
+    assert grants.accept(Stamp(2, 5), given(1), 2000) == "yes"
+    assert grants.accept(stamp, grant, 2000) == word and len(grants.active(2000)) == 1
+    assert grants.accept(Stamp(3, 1), given(1, lane=Lane("a", 3, 77, "b")), 2000) == "yes"
+    assert [one.grant.lane.source for one in grants.active(2000)] == ["b"], (
         "a higher term ends what the older ones granted"
     )
 
@@ -332,33 +342,33 @@
     for seed in range(500):
         chance = random.Random(seed)
         age, lasts, gain = (
-            chance.randrange(MOST_AGE),
+            chance.randrange(MAX_MARK_AGE),
             chance.randrange(1, 100_000),
-            chance.uniform(-1, 1) / DRIFT,
+            chance.uniform(-1, 1) / CLOCK_DRIFT_DIVISOR,
         )
         heard = chance.randrange(10**6)
         grant = given(1, age=age, lasts=lasts)
         ends = heard + (age + lasts) / (
             1 + gain
         )  # the receiver's clock does age + lasts, as the owner's sees it
-        assert ends <= counted_until(heard + age, grant) + lasts / DRIFT**2 + 1 and counted_until(
+        assert ends <= latest_end(heard + age, grant) + lasts / CLOCK_DRIFT_DIVISOR**2 + 1 and latest_end(
             0, grant
-        ) <= longest(lasts)
+        ) <= max_remaining_time(lasts)
 
 
 def test_the_pace_never_gives_more_than_rate_and_burst():
     for seed in range(80):
         chance, now = random.Random(seed), 0
         rate, ends = chance.choice((1, 300, 50_000, 10**9)), chance.randrange(1, 60_000)
-        pace, taken = Pace(rate, 0, ends), []
+        limiter, taken = RateLimiter(rate, 0, ends), []
         for _ in range(100):
             most = chance.randrange(1, 3_000_000)
-            got = pace.take(now, most)
+            got = limiter.take(now, most)
             taken.append((now, got))
             assert got <= most and (not got or now < ends)
-            when = None if got else pace.when(now, most)
+            when = None if got else limiter.available_at(now, most)
             if when is not None:
-                now, got = when, pace.take(when, most)
+                now, got = when, limiter.take(when, most)
                 assert got > 0, "it comes when it says"
                 taken.append((now, got))
             now += chance.randrange(1, chance.choice((500, 500, 500, 8000)))
@@ -366,7 +376,11 @@
             total = 0
             for at, got in taken[place:]:
                 total += got
-                assert total <= rate * (max(0, min(at, ends) - begun) + BURST) / SECOND + 1, (seed, begun, at)
+                assert total <= rate * (max(0, min(at, ends) - begun) + BURST_TIME) / SECOND + 1, (
+                    seed,
+                    begun,
+                    at,
+                )
 
 
 GOOD = {
--- a/tests/test_weights_sites.py
+++ b/tests/test_weights_sites.py
@@ -335,13 +335,13 @@
         first.paused = True
         yield from stage.world.sleep(SECOND)  # what it plans now waits
         stage.own(3)
-        yield from stage.until(lambda: stage.nodes[0].work.receiver.shelf.stamp.term == 2)
-        held = dict(stage.nodes[0].work.receiver.shelf.held)
+        yield from stage.until(lambda: stage.nodes[0].work.receiver.grants.stamp.term == 2)
+        held = dict(stage.nodes[0].work.receiver.grants.held)
         first.paused = False
         yield from stage.until(lambda: "stepped down" in first.words, 2 * SECOND)
         assert ("grant", "older term") in first.words
         assert (
-            all(one.stamp.term == 2 for one in stage.nodes[0].work.receiver.shelf.held.values())
+            all(one.stamp.term == 2 for one in stage.nodes[0].work.receiver.grants.held.values())
             and held is not None
         )
         yield from stage.until(lambda: stage.nodes[0].engines.told)
