--- a/stackpitch/duties/weights/grants/__init__.py
+++ b/stackpitch/duties/weights/grants/__init__.py
@@ -1,1 +1,1 @@
-"""Grants: who may fetch which pieces from where at what rate until when; how they run out, and how they are paced. Pure."""
+"""Bandwidth grants: who may fetch which pieces, from where, at what rate, until when; expiry and rate limiting. Pure."""
--- a/stackpitch/duties/weights/grants/grant_table.py
+++ b/stackpitch/duties/weights/grants/grant_table.py
@@ -1,23 +1,26 @@
-"""A receiver's grants: which it takes, which run. The second guard: terms are checked here, whatever the lease said."""
+"""A receiver's grants: which it accepts and which are active.
+
+It checks the term of each grant itself, as a second guard against an owner whose lease has ended.
+"""
 
 from stackpitch.duties.calls import Stamp
 from stackpitch.duties.weights.grants.grant import Grant, Held, Lane
 from stackpitch.loop import Time
 
-MOST_LANES = 4096  # two for each source: a bound against a call that went wrong
+MAX_LANES = 4096  # two for each source; bounds the table against faulty calls
 
 
 class GrantTable:
-    """`serials` and `held` are emptied by a higher stamp; `held` by time too."""
+    """`serials` and `held` are cleared by a higher stamp; entries of `held` also expire by time."""
 
     def __init__(self, gateway: int, start: int) -> None:
         self.gateway, self.start = gateway, start
         self.stamp = Stamp()
         self.held: dict[Lane, Held] = {}
-        self.serials: dict[Lane, int] = {}  # the newest heard of each lane, also of those that have ended
+        self.serials: dict[Lane, int] = {}  # the newest accepted of each lane, also of grants that have ended
 
     def fence(self, stamp: Stamp) -> bool:
-        """False if it is older than one heard before. A newer one ends all that the older ones granted."""
+        """False if `stamp` is older than one seen before. A newer one ends all grants under older ones."""
         if stamp < self.stamp:
             return False
         if stamp > self.stamp:
@@ -27,7 +30,7 @@
         return True
 
     def accept(self, stamp: Stamp, grant: Grant, now: Time) -> str:
-        """ "yes", or why not."""
+        """Accepts a grant. Returns "yes", or the reason for the refusal."""
         if not self.fence(stamp):
             return "older term"
         lane = grant.lane
@@ -39,7 +42,7 @@
             return "not possible"
         if grant.serial <= self.serials.get(lane, 0):
             return "repeated"
-        if lane not in self.serials and len(self.serials) >= MOST_LANES:
+        if lane not in self.serials and len(self.serials) >= MAX_LANES:
             return "too many lanes"
         self.serials[lane] = grant.serial
         self.held.pop(lane, None)
@@ -49,11 +52,12 @@
         return "yes"
 
     def active(self, now: Time) -> list[Held]:
-        for lane in [lane for lane, one in self.held.items() if one.ends <= now]:
+        """Drops the grants that have ended and returns the others."""
+        for lane in [lane for lane, held in self.held.items() if held.ends <= now]:
             del self.held[lane]
         return list(self.held.values())
 
     def finish(self, lane: Lane, serial: int) -> None:
-        """All its pieces are there, or its source failed."""
-        if (one := self.held.get(lane)) is not None and one.grant.serial == serial:
+        """Ends a grant whose pieces have all arrived, or whose source failed."""
+        if (held := self.held.get(lane)) is not None and held.grant.serial == serial:
             del self.held[lane]
--- a/stackpitch/duties/weights/grants/rate_limiter.py
+++ b/stackpitch/duties/weights/grants/rate_limiter.py
@@ -1,42 +1,43 @@
-"""How fast a grant may be used: a bucket that fills at its rate and holds `BURST_TIME` of it. Pure."""
+"""Limits the rate at which a grant is used: a token bucket in bytes that holds `BURST_TIME` of its rate. Pure."""
 
 from stackpitch.loop import MS, SECOND, Time
 
-BURST_TIME: Time = (
-    100 * MS
-)  # a lane takes at most so much of its rate at once; so the burst of a link is that of its capacity
-SLICE: Time = 40 * MS  # asked for at a time at least, so that calls stay few
+# A lane may take the bytes of this time at once, so the burst on a link is that of its capacity.
+BURST_TIME: Time = 100 * MS
+MIN_SLICE_TIME: Time = 40 * MS  # the least time whose bytes are requested at once, to keep requests few
 
 
 class RateLimiter:
-    """Empty at first: what an earlier grant of the lane left over is not carried on."""
+    """Starts empty: what an earlier grant of the lane left unused is not carried over. `rate` in bytes a second."""
 
     def __init__(self, rate: int, now: Time, ends: Time) -> None:
-        self.rate, self.at, self.ends = rate, now, ends
-        self.had = 0  # units of bytes * ticks a second, so that nothing is lost by rounding
+        self.rate, self.filled_at, self.ends = rate, now, ends
+        self.credit = 0  # in bytes * SECOND, so that nothing is lost by rounding
 
     def _fill(self, now: Time) -> None:
-        upto = min(now, self.ends)
-        if upto > self.at:
-            self.had = min(self.had + self.rate * (upto - self.at), max(self.rate * BURST_TIME, SECOND))
-            self.at = upto
+        end = min(now, self.ends)
+        if end > self.filled_at:
+            self.credit = min(
+                self.credit + self.rate * (end - self.filled_at), max(self.rate * BURST_TIME, SECOND)
+            )
+            self.filled_at = end
 
     def take(self, now: Time, most: int) -> int:
-        """Bytes that may be asked for now: 0 if too few to be worth it, or if the grant is over."""
+        """Takes up to `most` bytes and returns the number; 0 if too few are available or the grant has ended."""
         self._fill(now)
         if now >= self.ends:
             return 0
-        worth = min(most, max(1, self.rate * SLICE // SECOND))
-        free = self.had // SECOND
-        if free < worth:
+        threshold = min(most, max(1, self.rate * MIN_SLICE_TIME // SECOND))
+        available = self.credit // SECOND
+        if available < threshold:
             return 0
-        given = min(free, most)
-        self.had -= given * SECOND
-        return given
+        granted = min(available, most)
+        self.credit -= granted * SECOND
+        return granted
 
     def available_at(self, now: Time, most: int) -> Time | None:
-        """When `take` is worth asking again; None: not within this grant."""
+        """The earliest time at which `take` returns more than 0; None if that is after the grant's end."""
         self._fill(now)
-        worth = min(most, max(1, self.rate * SLICE // SECOND))
-        at = now + max(1, -(-(worth * SECOND - self.had) // self.rate))
-        return at if at < self.ends else None
+        threshold = min(most, max(1, self.rate * MIN_SLICE_TIME // SECOND))
+        time = now + max(1, -(-(threshold * SECOND - self.credit) // self.rate))
+        return time if time < self.ends else None
--- a/stackpitch/duties/weights/plan/needs.py
+++ b/stackpitch/duties/weights/plan/needs.py
@@ -1,4 +1,4 @@
-"""Who still needs what, and in which order: by class, time wanted by, revenue that waits at the site, then by name. Pure."""
+"""Lists which site still needs which version, ordered by class, due time, revenue waiting at the site, then name. Pure."""
 
 from typing import NamedTuple
 
@@ -9,11 +9,13 @@
 
 
 class Need(NamedTuple):
+    """A version that a site lacks pieces of. `order` is the sort key; its first item is the priority class."""
+
     order: tuple[int, float, float, str, str]
     site: str
     version: Version
     manifest: Manifest
-    missing: int  # a bit set of pieces
+    missing: int  # bit set of pieces
     receiver: GatewayState
 
     @property
@@ -22,10 +24,10 @@
 
 
 def needs(wanted: Wanted, sites: SiteStates, now: Time) -> list[Need]:
-    """Of sites whose receiver is heard, can write, and knows the manifest; in strict order."""
-    found = []
+    """In strict order, for sites whose receiver reports, can write to its disk and knows the manifest."""
+    needed = []
     for name, model in wanted.models.items():
-        version, by = (name, model.version), float("inf") if model.by_unix_ms is None else model.by_unix_ms
+        version, due = (name, model.version), float("inf") if model.by_unix_ms is None else model.by_unix_ms
         for site in model.sites:
             receiver = sites.receiver(site, now)
             if receiver is None or receiver.report.trouble is not None or version not in receiver.known:
@@ -34,6 +36,6 @@
                 continue
             missing = model.manifest.full & ~receiver.have.get(version, 0)
             if missing and version not in receiver.placed:
-                order = model.priority, by, -sites.revenue(site, receiver), name, site
-                found.append(Need(order, site, version, model.manifest, missing, receiver))
-    return sorted(found, key=lambda need: need.order)
+                order = model.priority, due, -sites.revenue(site, receiver), name, site
+                needed.append(Need(order, site, version, model.manifest, missing, receiver))
+    return sorted(needed, key=lambda need: need.order)
