--- a/stackpitch/duties/weights/receiving/opening.py
+++ b/stackpitch/duties/weights/receiving/opener.py
@@ -6,7 +6,7 @@
 from stackpitch.duties.weights.errors import DiskTrouble, Gone, WholeDiffers
 from stackpitch.duties.weights.placing.disk import QUEUE
 from stackpitch.duties.weights.placing.folder import Released
-from stackpitch.duties.weights.receiving.lanes import Entry
+from stackpitch.duties.weights.receiving.fetch_tasks import Entry
 from stackpitch.loop import SECOND, Coro, Time
 
 if TYPE_CHECKING:
--- a/stackpitch/duties/weights/receiving/receiver.py
+++ b/stackpitch/duties/weights/receiving/receiver.py
@@ -17,9 +17,9 @@
 from stackpitch.duties.weights.placing.copy import Copy
 from stackpitch.duties.weights.placing.disk import QUEUE
 from stackpitch.duties.weights.placing.folder import Folder, Released
-from stackpitch.duties.weights.receiving.lanes import Entry, Lanes
-from stackpitch.duties.weights.receiving.opening import WAIT, Opening
-from stackpitch.duties.weights.receiving.sitedisk import SiteDisk
+from stackpitch.duties.weights.receiving.fetch_tasks import Entry, Lanes
+from stackpitch.duties.weights.receiving.opener import WAIT, Opening
+from stackpitch.duties.weights.receiving.site_disk import SiteDisk
 from stackpitch.duties.weights.receiving.sources import Sources
 from stackpitch.duties.weights.receiving.states import counted
 from stackpitch.loop import SECOND, Coro, Group, Time, World
--- a/stackpitch/duties/weights/receiving/states.py
+++ b/stackpitch/duties/weights/receiving/states.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Mapping
 
 from stackpitch.duties.weights.placing.folder import Released
-from stackpitch.duties.weights.receiving.lanes import Entry
+from stackpitch.duties.weights.receiving.fetch_tasks import Entry
 
 STATES = ("checking", "missing pieces", "whole", "placed", "released", "failed")
 
