--- a/stackpitch/duties/weights/receiving/__init__.py
+++ b/stackpitch/duties/weights/receiving/__init__.py
@@ -1,1 +1,1 @@
-"""A gateway that fetches: which pieces it has, what it may ask whom for now, and the asking itself."""
+"""The receiving side of a gateway: which pieces it has, what it may fetch from whom now, and the fetching itself."""
--- a/stackpitch/duties/weights/receiving/receiver.py
+++ b/stackpitch/duties/weights/receiving/receiver.py
@@ -1,6 +1,6 @@
-"""What a gateway does for the owner: takes grants while they run, fetches by them, and says what it has.
+"""What a gateway does for the owner: accepts grants, fetches under them, and reports what it has.
 
-All state is this process's own; the disk is asked anew after a restart, the rest by the owner's next call.
+All state belongs to this process. After a restart the disk is read again; the rest comes with the owner's next call.
 """
 
 from collections.abc import Callable
@@ -17,33 +17,31 @@
 from stackpitch.duties.weights.placing.copy import Copy
 from stackpitch.duties.weights.placing.disk import QUEUE
 from stackpitch.duties.weights.placing.folder import Folder, Released
-from stackpitch.duties.weights.receiving.fetch_tasks import Entry, Lanes
-from stackpitch.duties.weights.receiving.opener import WAIT, Opening
+from stackpitch.duties.weights.receiving.fetch_tasks import Entry, FetchTasks
+from stackpitch.duties.weights.receiving.opener import DISK_RETRY_TIME, Opener
 from stackpitch.duties.weights.receiving.site_disk import SiteDisk
 from stackpitch.duties.weights.receiving.sources import Sources
-from stackpitch.duties.weights.receiving.states import counted
+from stackpitch.duties.weights.receiving.states import count_states
 from stackpitch.loop import SECOND, Coro, Group, Time, World
 
-MOST_COPIES = 320  # versions known at once
-IDLE: Time = (
-    5 * SECOND
-)  # a version without a grant for so long is looked for on the disk before it is fetched on
-TELL: Time = (
-    30 * SECOND
-)  # how often engines are told again what is released: some were away, or have started since
-CLEAR: Time = 5 * SECOND  # how often what is not needed any more is looked for
-Log = Callable[..., None]  # a word, and fields by name
+MAX_VERSIONS = 320  # known at once
+# A version without a grant for this time is checked on the disk again before fetching goes on.
+RECHECK_AFTER: Time = 5 * SECOND
+# How often engines are notified again of released versions: some were unreachable, or have started since.
+NOTIFY_PERIOD: Time = 30 * SECOND
+CLEAR_PERIOD: Time = 5 * SECOND  # between searches for files that are no longer needed
+Log = Callable[..., None]  # the event, and its fields by name
 
 
 class Engines(Protocol):
-    """Those of the site."""
+    """The engines of the site."""
 
-    def used(self, model: str, version: str) -> bool: ...  # one runs on it, or may, or nobody knows
-    def released(self, model: str, version: str) -> Coro[None]: ...  # they shall load it; may be told again
+    def used(self, model: str, version: str) -> bool: ...  # an engine runs on it, or that can't be excluded
+    def released(self, model: str, version: str) -> Coro[None]: ...  # tells them to load it; may be repeated
 
 
 class Receiver:
-    """`entries` go when their version is replaced or withdrawn."""
+    """One gateway's part in the distribution. `entries` go when their version is replaced or withdrawn."""
 
     def __init__(
         self,
@@ -59,47 +57,48 @@
         self.grants, self.sources, self.site = GrantTable(number, start), Sources(), ""
         self.entries: dict[tuple[str, str], Entry] = {}
         self.disk = SiteDisk(world, folder)
-        self.placings: dict[
-            str, tuple[Stamp, int]
-        ] = {}  # the last word on each model; emptied as its entries are
+        # The stamp and serial of the last placement of each model; an entry goes when its model is withdrawn.
+        self.placements: dict[str, tuple[Stamp, int]] = {}
         self.trouble: DiskTrouble | None = None
         self.trouble_until: Time = 0
         self.changed = True  # since the last report
         self.group: Group | None = None
-        self.lanes, self.opening = Lanes(self), Opening(self)
+        self.fetches, self.opener = FetchTasks(self), Opener(self)
 
-    # Calls of the owner, which have passed the fence.
+    # Calls of the owner, whose stamps the caller has checked against older terms.
 
-    def place(self, stamp: Stamp, asked: forms.Place) -> str:
-        version = asked.model, asked.version
+    def place(self, stamp: Stamp, request: forms.Place) -> str:
+        """Starts to hold a version. Returns "yes", or the reason for the refusal."""
+        version = request.model, request.version
         if not self.grants.fence(stamp) or self.group is None:
             return "not now"
         entry = self.entries.get(version)
         if entry is not None:
-            if entry.manifest.whole != asked.whole or entry.manifest.pieces != list(asked.pieces):
-                self.said(VersionChanged(*version))
+            if entry.manifest.whole != request.whole or entry.manifest.pieces != list(request.pieces):
+                self.log_error(VersionChanged(*version))
                 return "differs"
             return "yes"
-        if (stamp, asked.serial) < self.placings.get(asked.model, (stamp, 0)):
+        if (stamp, request.serial) < self.placements.get(request.model, (stamp, 0)):
             return "older"
-        if len(self.entries) >= MOST_COPIES:
+        if len(self.entries) >= MAX_VERSIONS:
             return "too many versions"
         try:
             manifest = Manifest(
-                size=asked.size, piece=asked.piece, whole=asked.whole, pieces=list(asked.pieces)
+                size=request.size, piece=request.piece, whole=request.whole, pieces=list(request.pieces)
             )
         except ValidationError:
             return "malformed"
-        self.placings[asked.model] = stamp, asked.serial
+        self.placements[request.model] = stamp, request.serial
         for other in [
-            one for one, old in self.entries.items() if one[0] == asked.model and not old.copy.placed
+            key for key, old in self.entries.items() if key[0] == request.model and not old.copy.placed
         ]:
-            self._drop(other)  # replaced before it was whole
+            self._drop(other)  # replaced before it was complete
         self.entries[version] = entry = Entry(Copy(self.folder, *version, manifest), manifest)
-        self.group.spawn(self.opening.open(entry), f"weights {asked.model}")
+        self.group.spawn(self.opener.open(entry), f"weights {request.model}")
         return "yes"
 
     def grant(self, stamp: Stamp, grant: Grant) -> str:
+        """Accepts a grant and fetches under it. Returns "yes", or the reason for the refusal."""
         entry = self.entries.get((grant.model, grant.version))
         if grant.rate and (entry is None or not entry.ready):
             return "not known"
@@ -109,73 +108,77 @@
         if (
             grant.rate
             and entry is not None
-            and now >= entry.used + IDLE
+            and now >= entry.used + RECHECK_AFTER
             and self.group is not None
             and (entry.pieces.have != entry.manifest.full)
         ):
-            entry.ready, self.changed = False, True  # another gateway of the site may have fetched meanwhile
-            self.group.spawn(self.opening.again(entry), f"weights {grant.model}")
+            entry.ready, self.changed = False, True  # another gateway of the site may have fetched pieces
+            self.group.spawn(self.opener.recheck(entry), f"weights {grant.model}")
             return "looks again"
-        word = self.grants.accept(stamp, grant, now)
+        result = self.grants.accept(stamp, grant, now)
         if entry is not None and (held := self.grants.held.get(grant.lane)) is not None:
             entry.used = max(entry.used, held.ends)
-        if word == "yes" and self.group is not None:
-            self.lanes.run(self.group, grant.lane)
-        return word
+        if result == "yes" and self.group is not None:
+            self.fetches.run(self.group, grant.lane)
+        return result
 
-    def release(self, stamp: Stamp, asked: forms.Release) -> Coro[str]:
+    def release(self, stamp: Stamp, request: forms.Release) -> Coro[str]:
+        """Puts a placed version in service; withdraws the model if the version is empty."""
         entry, last = (
-            self.entries.get((asked.model, asked.version)),
-            self.disk.releases.get(asked.model, Released()),
+            self.entries.get((request.model, request.version)),
+            self.disk.releases.get(request.model, Released()),
         )
-        if not self.grants.fence(stamp) or (stamp, asked.serial) < (last.stamp, last.serial):
+        if not self.grants.fence(stamp) or (stamp, request.serial) < (last.stamp, last.serial):
             return "older"
-        if asked.version and (entry is None or not entry.copy.placed):
+        if request.version and (entry is None or not entry.copy.placed):
             return "not placed"
-        released = Released(asked.version, stamp, asked.serial)
-        if last.version != asked.version or last.stamp != stamp:
+        released = Released(request.version, stamp, request.serial)
+        if last.version != request.version or last.stamp != stamp:
             try:
-                yield from self.world.run_blocking(lambda: self.folder.release(asked.model, released), QUEUE)
-            except DiskTrouble as wrong:
-                self.failed(wrong)
+                yield from self.world.run_blocking(
+                    lambda: self.folder.release(request.model, released), QUEUE
+                )
+            except DiskTrouble as error:
+                self.pause_for_disk(error)
                 return "disk"
-        self.disk.releases[asked.model] = released
-        if (
-            asked.version and self.group is not None
-        ):  # not waited for: the owner's call is short, and engines may be slow
-            self.group.spawn(self.engines.released(asked.model, asked.version), "weights released")
+        self.disk.releases[request.model] = released
+        # Not awaited: the owner's call has a short timeout, and engines may be slow.
+        if request.version and self.group is not None:
+            self.group.spawn(self.engines.released(request.model, request.version), "weights released")
         for version in [
-            one
-            for one, old in self.entries.items()
-            if one[0] == asked.model and one[1] != asked.version and (old.copy.placed or not asked.version)
+            key
+            for key, old in self.entries.items()
+            if key[0] == request.model
+            and key[1] != request.version
+            and (old.copy.placed or not request.version)
         ]:
             self._drop(version)
-        if not asked.version:
-            self.placings.pop(asked.model, None)
-        self.disk.outdate(asked.model, self.wanted(asked.model))
-        yield from self._clear(asked.model)
+        if not request.version:
+            self.placements.pop(request.model, None)
+        self.disk.mark_outdated(request.model, self.wanted_versions(request.model))
+        yield from self._clear(request.model)
         return "yes"
 
-    # What it does by itself.
+    # Periodic work.
 
     def serve(self) -> Coro[None]:
-        """As long as the gateway runs."""
+        """Runs for as long as the gateway does."""
 
         def body(group: Group) -> Coro[None]:
-            yield from self._look()
-            self.group, told = group, self.world.now()
+            yield from self._scan_disk()
+            self.group, notified_at = group, self.world.now()
             while True:
-                waits = CLEAR if self.trouble is None else self.trouble_until - self.world.now()
-                yield from self.world.sleep(max(0, min(CLEAR, waits)))
+                delay = CLEAR_PERIOD if self.trouble is None else self.trouble_until - self.world.now()
+                yield from self.world.sleep(max(0, min(CLEAR_PERIOD, delay)))
                 if self.trouble is not None and self.world.now() >= self.trouble_until:
                     self.trouble, self.changed = None, True
-                yield from self._look()
-                for model in list(self.disk.lying):
+                yield from self._scan_disk()
+                for model in list(self.disk.placed):
                     yield from self._clear(model)
-                if self.world.now() >= told + TELL:
-                    told = self.world.now()
+                if self.world.now() >= notified_at + NOTIFY_PERIOD:
+                    notified_at = self.world.now()
                     for model, released in list(self.disk.releases.items()):
-                        if released.version in self.disk.lying.get(model, ()):
+                        if released.version in self.disk.placed.get(model, ()):
                             yield from self.engines.released(model, released.version)
 
         try:
@@ -185,63 +188,66 @@
             for entry in self.entries.values():
                 entry.copy.close()
 
-    def _look(self) -> Coro[None]:
-        """What lies on the disk."""
+    def _scan_disk(self) -> Coro[None]:
+        """Reads what is on the disk."""
         try:
-            wrong = yield from self.disk.look()
-        except DiskTrouble as all_of_it:
-            self.failed(all_of_it)
+            model_errors = yield from self.disk.scan()
+        except DiskTrouble as error:
+            self.pause_for_disk(error)
         else:
-            for one in wrong if self.group is None else ():  # once, at the start
-                self.said(one)
+            for model_error in model_errors if self.group is None else ():  # logged once, at the start
+                self.log_error(model_error)
 
-    def wanted(self, model: str) -> set[str]:
+    def wanted_versions(self, model: str) -> set[str]:
+        """The versions of the model that the owner wants here."""
         return {version for name, version in self.entries if name == model}
 
     def _drop(self, version: tuple[str, str]) -> None:
         entry = self.entries.pop(version)
         self.changed = True
         if entry.ready and self.group is not None:
-            self.group.spawn(
-                self.world.run_blocking(entry.copy.close, QUEUE), "weights close"
-            )  # after what is under way
+            # Queued behind the disk calls in progress.
+            self.group.spawn(self.world.run_blocking(entry.copy.close, QUEUE), "weights close")
 
     def _clear(self, model: str) -> Coro[None]:
-        """Removes what is neither released nor wanted nor used by an engine; partial files of this gateway's own alone."""
+        """Removes what is not released, wanted or used by an engine; partial files of this gateway only."""
         try:
-            gone = yield from self.disk.clear(
-                model, self.wanted(model), lambda version: self.engines.used(model, version)
+            removed = yield from self.disk.clear(
+                model, self.wanted_versions(model), lambda version: self.engines.used(model, version)
             )
-        except DiskTrouble as wrong:
-            self.failed(wrong)
+        except DiskTrouble as error:
+            self.pause_for_disk(error)
             return
-        for path in gone:
+        for path in removed:
             self.log("weights_removed", path=path)
 
-    # What is said.
+    # Logs and reports.
 
-    def said(self, wrong: WeightsError, **more: Any) -> None:
-        self.log(f"weights_{wrong.word}", why=str(wrong), remedy=wrong.remedy, **more)
+    def log_error(self, error: WeightsError, **fields: Any) -> None:
+        """Logs an error under its kind."""
+        self.log(f"weights_{error.word}", why=str(error), remedy=error.remedy, **fields)
 
-    def failed(self, wrong: DiskTrouble) -> None:
-        """Nothing more is fetched until the disk has had time; what runs ends."""
-        self.trouble, self.trouble_until, self.changed = wrong, self.world.now() + WAIT, True
+    def pause_for_disk(self, error: DiskTrouble) -> None:
+        """After a disk error: ends the active grants and refuses others for `DISK_RETRY_TIME`."""
+        self.trouble, self.trouble_until, self.changed = error, self.world.now() + DISK_RETRY_TIME, True
         self.grants.held.clear()
-        self.said(wrong)
+        self.log_error(error)
 
     def states(self) -> dict[str, int]:
-        return counted(self.entries.values(), self.disk.releases)
+        """The number of versions by state, for metrics."""
+        return count_states(self.entries.values(), self.disk.releases)
 
     def report(self) -> forms.Report:
+        """The report to the owner; resets `changed`."""
         now = self.world.now()
         have = []
         for entry in self.entries.values():
-            found = "" if entry.copy.placed else forms.bits(entry.pieces.have)
+            piece_bits = "" if entry.copy.placed else forms.bits(entry.pieces.have)
             have.append(
                 forms.Have(
                     *entry.version,
                     entry.manifest.whole,
-                    found,
+                    piece_bits,
                     entry.copy.placed,
                     self.disk.releases.get(entry.model, Released()).version == entry.version[1],
                     entry.ready,
@@ -251,7 +257,7 @@
         known = {entry.model for entry in self.entries.values()}
         have += [
             forms.Have(model, version, known=False)
-            for model, versions in self.disk.lying.items()
+            for model, versions in self.disk.placed.items()
             if model not in known
             for version in versions
         ]
@@ -263,7 +269,7 @@
             Mark(self.grants.start, now),
             self.revenue(),
             tuple(have[:1024]),
-            self.lanes.ran(now),
-            self.sources.closed(now),
+            self.fetches.ran(now),
+            self.sources.ejected(now),
             trouble,
         )
--- a/stackpitch/duties/weights/receiving/sources.py
+++ b/stackpitch/duties/weights/receiving/sources.py
@@ -1,43 +1,47 @@
-"""Which sources are not to be asked, and until when: two bad pieces of a version, or no answer. Pure."""
+"""Which sources are not asked at present, and until when: after bad pieces of a version, or without an answer. Pure."""
 
 from stackpitch.duties.weights.forms import Spoilt
 from stackpitch.loop import SECOND, Time
 
-BAD_PIECES = 2  # of one version from one source, after which it is left alone
-SPOILT: Time = 60 * SECOND  # then it is tried again: an operator may have mended it
-FAILED: Time = 2 * SECOND  # after a source that did not answer; doubles up to SPOILT
-MOST = 256
+MAX_BAD_PIECES = 2  # of one version from one source, after which the source is not asked for it
+EJECTION_TIME: Time = 60 * SECOND  # then the source is tried again, as an operator may have repaired it
+FIRST_BACKOFF: Time = 2 * SECOND  # after a source that did not answer; doubles up to EJECTION_TIME
+MAX_ENTRIES = 256
 
 
 class Sources:
-    """Emptied by time, and by pieces that are right."""
+    """The failures of each source. Entries expire by time; a right piece clears the source's missing answers."""
 
     def __init__(self) -> None:
-        self.bad: dict[tuple[str, str, str], int] = {}  # source, model, version: pieces that were wrong
-        self.spoilt: dict[tuple[str, str, str], Time] = {}  # until when
-        self.failed: dict[str, tuple[int, Time]] = {}  # how often in a row, and until when
+        self.bad: dict[tuple[str, str, str], int] = {}  # by source, model and version: number of bad pieces
+        self.ejected_until: dict[tuple[str, str, str], Time] = {}  # until when
+        self.failed: dict[str, tuple[int, Time]] = {}  # failures in a row, and until when
 
     def bad_piece(self, source: str, model: str, version: str, now: Time) -> bool:
-        """Whether the source is spoilt by it."""
+        """Counts a bad piece. Whether the source is now ejected for this version."""
         key = source, model, version
         count = self.bad[key] = self.bad.get(key, 0) + 1
-        if count >= BAD_PIECES:
-            self.spoilt[key] = now + SPOILT
+        if count >= MAX_BAD_PIECES:
+            self.ejected_until[key] = now + EJECTION_TIME
             del self.bad[key]
-        while len(self.bad) > MOST:
+        while len(self.bad) > MAX_ENTRIES:
             del self.bad[next(iter(self.bad))]
-        return count >= BAD_PIECES
+        return count >= MAX_BAD_PIECES
 
     def good_piece(self, source: str) -> None:
         self.failed.pop(source, None)
 
     def no_answer(self, source: str, now: Time) -> None:
         count = min(self.failed.get(source, (0, 0))[0] + 1, 10)
-        self.failed[source] = count, now + min(SPOILT, FAILED << (count - 1))
-
-    def closed(self, now: Time) -> tuple[Spoilt, ...]:
-        """For reports."""
-        self.spoilt = {key: until for key, until in self.spoilt.items() if until > now}
-        self.failed = {source: one for source, one in self.failed.items() if one[1] > now - SPOILT}
-        found = [Spoilt(*key) for key in self.spoilt]
-        return (*found, *(Spoilt(source) for source, (_, until) in self.failed.items() if until > now))[:MOST]
+        self.failed[source] = count, now + min(EJECTION_TIME, FIRST_BACKOFF << (count - 1))
+
+    def ejected(self, now: Time) -> tuple[Spoilt, ...]:
+        """The ejected sources, for reports."""
+        self.ejected_until = {key: until for key, until in self.ejected_until.items() if until > now}
+        self.failed = {
+            source: entry for source, entry in self.failed.items() if entry[1] > now - EJECTION_TIME
+        }
+        entries = [Spoilt(*key) for key in self.ejected_until]
+        return (*entries, *(Spoilt(source) for source, (_, until) in self.failed.items() if until > now))[
+            :MAX_ENTRIES
+        ]
--- a/stackpitch/duties/weights/receiving/states.py
+++ b/stackpitch/duties/weights/receiving/states.py
@@ -1,4 +1,4 @@
-"""In which state each version at this gateway's site is, as `docs/duties.md` names them."""
+"""The state of each version at this gateway's site, in the terms of `docs/duties.md`."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -10,7 +10,7 @@
 
 
 def state(entry: Entry, released: str) -> str:
-    """`released`: the version of its model that is in service."""
+    """One of `STATES`. `released`: the version of the model that is in service."""
     if entry.trouble is not None:
         return "failed"
     if entry.copy.placed:
@@ -20,7 +20,7 @@
     return "whole" if entry.pieces.have == entry.manifest.full else "missing pieces"
 
 
-def counted(entries: Iterable[Entry], releases: Mapping[str, Released]) -> dict[str, int]:
-    """Versions by state; every state is named, as a figure that is missing looks like one that is not kept."""
-    found = Counter(state(one, releases.get(one.model, Released()).version) for one in entries)
-    return {name: found[name] for name in STATES}
+def count_states(entries: Iterable[Entry], releases: Mapping[str, Released]) -> dict[str, int]:
+    """The number of versions by state. States without a version count 0, as a missing figure looks like an unsupported one."""
+    counts = Counter(state(entry, releases.get(entry.model, Released()).version) for entry in entries)
+    return {name: counts[name] for name in STATES}
--- a/stackpitch/duties/weights/work.py
+++ b/stackpitch/duties/weights/work.py
@@ -156,7 +156,7 @@
         while True:
             yield from self.world.sleep(SOON)
             since, owner = self.world.now() - self.reported, self.ground.owner(self.name)
-            due = (receiver.changed and since >= SOON) or (receiver.lanes.tasks and since >= STEADY)
+            due = (receiver.changed and since >= SOON) or (receiver.fetches.tasks and since >= STEADY)
             if due and owner is not None and receiver.site:
                 self.reported = self.world.now()
                 yield from self.ground.ask(owner, self.name, "report", receiver.report())
--- a/stackpitch/rehearse/broken/weights.py
+++ b/stackpitch/rehearse/broken/weights.py
@@ -45,10 +45,10 @@
     from stackpitch.duties.weights.placing.copy import Copy
     from stackpitch.duties.weights.receiving.pieces import Pieces
 
-    came = Pieces.came
+    add_data = Pieces.add_data
 
     def any_of_it(self: Pieces, piece: int, data: bytes, source: str) -> bool | None:
-        right = came(self, piece, data, source)
+        right = add_data(self, piece, data, source)
         if right is False:
             self.have |= 1 << piece
         return None if right is None else True
@@ -61,4 +61,4 @@
         disk.sync_folder(self.place.rpartition("/")[0])
         self.placed = True
 
-    Pieces.came, Copy.finish = any_of_it, at_once  # type: ignore[method-assign]
+    Pieces.add_data, Copy.finish = any_of_it, at_once  # type: ignore[method-assign]
