--- a/stackpitch/duties/weights/placing/__init__.py
+++ b/stackpitch/duties/weights/placing/__init__.py
@@ -1,1 +1,1 @@
-"""Files of a site's models on its disk: pieces into a partial file, the whole checked, synced, renamed into place."""
+"""Stores model files on a site's disk: pieces go into a partial file, which is checked, synced and renamed into place."""
--- a/stackpitch/duties/weights/placing/disk.py
+++ b/stackpitch/duties/weights/placing/disk.py
@@ -1,4 +1,4 @@
-"""The world's disk as placing needs it, and what its errors mean."""
+"""The file system that `placing` uses, and the error class for each of its errors."""
 
 import errno
 
@@ -6,11 +6,12 @@
 from stackpitch.loop import FileSystem as Disk
 from stackpitch.loop import RealFileSystem as RealDisk
 
-__all__ = ["Disk", "RealDisk", "trouble"]
+__all__ = ["Disk", "RealDisk", "disk_error"]
 
-QUEUE = "weights"  # of calls aside: a disk that hangs must not hold up a voter's promises
+# The queue of blocking calls: a disk that hangs must not delay the promises of a voting replica.
+QUEUE = "weights"
 
-KINDS: dict[int, type[DiskTrouble]] = {
+ERROR_CLASSES: dict[int, type[DiskTrouble]] = {
     errno.ENOSPC: DiskFull,
     errno.EDQUOT: DiskFull,
     errno.EFBIG: DiskFull,
@@ -23,5 +24,6 @@
 }
 
 
-def trouble(wrong: OSError, path: str) -> DiskTrouble:
-    return KINDS.get(wrong.errno or 0, DiskTrouble)(path, wrong.strerror or str(wrong))
+def disk_error(error: OSError, path: str) -> DiskTrouble:
+    """The exception for an OSError at `path`."""
+    return ERROR_CLASSES.get(error.errno or 0, DiskTrouble)(path, error.strerror or str(error))
--- a/stackpitch/duties/weights/receiving/opener.py
+++ b/stackpitch/duties/weights/receiving/opener.py
@@ -59,7 +59,7 @@
         entry.copy.have, before = entry.pieces.have, entry.copy.descriptor
         while not (
             yield from self.run_steps(
-                entry, entry.copy.again(sum(1 << piece for piece in entry.pieces.partial))
+                entry, entry.copy.rescan(sum(1 << piece for piece in entry.pieces.partial))
             )
         ):
             if self.receiver.entries.get(entry.version) is not entry:
--- a/stackpitch/rehearse/broken/weights.py
+++ b/stackpitch/rehearse/broken/weights.py
@@ -57,8 +57,8 @@
         disk = self.folder.disk
         yield
         disk.sync(self._file())
-        disk.rename(self.partial, self.place)
-        disk.sync_folder(self.place.rpartition("/")[0])
+        disk.rename(self.partial_path, self.placed_path)
+        disk.sync_folder(self.placed_path.rpartition("/")[0])
         self.placed = True
 
     Pieces.add_data, Copy.finish = any_of_it, at_once  # type: ignore[method-assign]
--- a/tests/test_weights_placing.py
+++ b/tests/test_weights_placing.py
@@ -98,11 +98,11 @@
         list(copy.recheck())
     one.write(0, DATA[:500])
     other.write(1024, DATA[1024:3000])  # one piece, most of the next, and nothing of the first
-    list(one.again(0b1))
+    list(one.rescan(0b1))
     assert one.have == 0b10 and one.read(0, 500) == DATA[:500]
     other.write(0, DATA)
     list(other.finish())
-    list(one.again(0b1))
+    list(one.rescan(0b1))
     assert one.placed and one.have == MANIFEST.full and disk.list_folder("root/m/partial") == []
 
 
