--- a/stackpitch/duties/weights/forms.py
+++ b/stackpitch/duties/weights/forms.py
@@ -1,6 +1,6 @@
-"""The bodies of this duty's calls. From the owner, under its term: `begin`, `place`, `grant`, `service`. To it: `report`.
+"""The bodies of this task's calls. From the owner, under its term: `begin`, `place`, `grant`, `service`. To it: `report`.
 
-Each answer to the owner carries a report too, so that it knows a receiver's mark and state without waiting for one.
+Each answer to the owner also carries a report, so that the owner knows a receiver's mark and state without delay.
 """
 
 from typing import Annotated
@@ -11,18 +11,18 @@
 from stackpitch.loop import Time
 
 Label = Annotated[str, msgspec.Meta(min_length=1, max_length=80, pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]*\Z")]
-Bits = Annotated[str, msgspec.Meta(max_length=1100, pattern=r"^[0-9a-f]*\Z")]  # a set of pieces, as hex
+Bits = Annotated[str, msgspec.Meta(max_length=1100, pattern=r"^[0-9a-f]*\Z")]  # a bit set of pieces, in hex
 Digest = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{64}\Z")]
 
 
 class Begin(msgspec.Struct, frozen=True):
-    """An owner asks for a report; if its term is new, older grants end. `site`: where the gateway is."""
+    """The owner asks for a report. A new term ends older grants. `site`: the gateway's site."""
 
     site: str
 
 
 class Place(msgspec.Struct, frozen=True):
-    """A version that the site shall have, and what its bytes must be."""
+    """A version that the site should hold, with its manifest."""
 
     model: Label
     version: Label
@@ -30,11 +30,11 @@
     piece: Annotated[int, msgspec.Meta(ge=1, le=1 << 30)]
     whole: Digest
     pieces: Annotated[tuple[Digest, ...], msgspec.Meta(max_length=4096)]
-    serial: int = 0  # rises within a term: a late copy of an earlier call changes nothing
+    serial: int = 0  # increases within a term, so that a late copy of an earlier call has no effect
 
 
 class Release(msgspec.Struct, frozen=True):
-    """This version goes into service at the site; "": the model is withdrawn there."""
+    """Puts this version in service at the site; "" withdraws the model there."""
 
     model: Label
     version: Annotated[str, msgspec.Meta(max_length=80, pattern=r"^([A-Za-z0-9][A-Za-z0-9._-]*)?\Z")]
@@ -46,8 +46,8 @@
 
     model: str
     version: str
-    whole: str = ""  # the digest of what it is to become; another than the owner's: not the same version
-    pieces: Bits = ""  # that it has; not said of one that is placed
+    whole: str = ""  # digest of the complete file; if not the owner's, it is not the same version
+    pieces: Bits = ""  # the pieces it has; empty if the version is placed
     placed: bool = False
     released: bool = False
     known: bool = True
@@ -55,7 +55,7 @@
 
 
 class Ran(msgspec.Struct, frozen=True):
-    """How far a grant came: `took` bytes in the time `lasted`; `done`: there was no more to fetch under it."""
+    """The progress of a grant: `took` bytes in the time `lasted`. `done`: nothing was left to fetch under it."""
 
     lane: Lane
     serial: int
@@ -65,7 +65,7 @@
 
 
 class Spoilt(msgspec.Struct, frozen=True):
-    """A source not to be asked, for one version, or for any if it is "" (it does not answer)."""
+    """A source that is not asked for one version, or for any if `model` is "" (it does not answer)."""
 
     source: str
     model: str = ""
@@ -80,27 +80,29 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """All of what a gateway has and does: the newest stands for itself, so one may be lost or come twice."""
+    """The complete state of a gateway. Each replaces the one before, so reports may be lost or repeated."""
 
     site: str
     gateway: int
     mark: Mark
-    revenue: float = 0.0  # that waits at this gateway
+    revenue: float = 0.0  # of the requests that wait at this gateway
     have: Annotated[tuple[Have, ...], msgspec.Meta(max_length=1024)] = ()
     ran: Annotated[tuple[Ran, ...], msgspec.Meta(max_length=256)] = ()
     spoilt: Annotated[tuple[Spoilt, ...], msgspec.Meta(max_length=256)] = ()
-    trouble: Trouble | None = None  # nothing can be written: no grants until it is over
+    trouble: Trouble | None = None  # the disk can't be written: no grants until this is over
 
 
 class Present(msgspec.Struct, frozen=True):
-    """With a gateway's yes to an announcement."""
+    """Sent with a gateway's acceptance of an announced owner."""
 
-    revenue: Annotated[float, msgspec.Meta(ge=0)]  # that waits at it
+    revenue: Annotated[float, msgspec.Meta(ge=0)]  # of the requests that wait there
 
 
 def bits(pieces: int) -> str:
+    """A bit set of pieces in hex."""
     return f"{pieces:x}" if pieces else ""
 
 
 def pieces(text: str) -> int:
+    """The inverse of `bits`."""
     return int(text, 16) if text else 0
--- a/stackpitch/duties/weights/lastgood.py
+++ b/stackpitch/duties/weights/lastgood.py
@@ -1,6 +1,6 @@
-"""The last good wanted file, kept beside the weights, so that a start while the file is wrong goes on with it.
+"""The last valid wanted file, persisted beside the weights, so that a start while the file is invalid goes on with it.
 
-Calls block: run them aside. One value; a crash at any byte leaves the one before or this one (`durable.log`).
+Calls block: run them off the loop. The log holds one value; a crash at any byte leaves the previous one or this one.
 """
 
 import os
@@ -15,7 +15,7 @@
 
 
 class LastGood:
-    """`trouble`: why the newest is not on disk; empty if it is. `again`: whether another try may help."""
+    """The persisted wanted file. `trouble`: why the newest is not on disk, empty if it is. `again`: a retry may help."""
 
     def __init__(self, files: Files, disk: Disk, path: str) -> None:
         self.disk, self.path, self.body, self.trouble = disk, path, b"", ""
@@ -34,13 +34,13 @@
         return bool(self.log.error)
 
     def load(self) -> Wanted | None:
-        """None: there is none, or it can't be read."""
+        """Reads the persisted file; None if there is none or it can't be read."""
         self._folder()
         self.log.open(self._take)
         self.trouble = self.log.error
         try:
             return checked_json(self.body, self.path) if self.body else None
-        except WantedRejected:  # kept by a version of the program that allowed other fields
+        except WantedRejected:  # written by a program version that allowed other fields
             return None
 
     def _take(self, body: bytes) -> bool:
@@ -51,16 +51,17 @@
         try:
             self.disk.make_folder(os.path.dirname(self.path))
         except OSError:
-            pass  # opening says why
+            pass  # opening the log reports the error
 
     def save(self, wanted: Wanted) -> None:
+        """Writes the file unless it is on disk already; sets `trouble`."""
         body = wanted.model_dump_json().encode()
         if len(body) > MAX_RECORD_BYTES:
             self.trouble = f"{self.path}: {len(body)} bytes; allowed: at most {MAX_RECORD_BYTES}"
         elif body != self.body or self.trouble:
             if self.trouble:
                 self._folder()
-            if not self.log.loaded:  # it is replaced once it is known what it is
+            if not self.log.loaded:  # what is on disk is read before it is replaced
                 self.log.open(self._take)
             self.body = body
             self.trouble = "" if self.log.add(body) else self.log.error
--- a/stackpitch/duties/weights/plan/site_states.py
+++ b/stackpitch/duties/weights/plan/site_states.py
@@ -44,7 +44,7 @@
 class SiteStates:
     """What the owner knows of all sites.
 
-    `heard` has at most one entry for each gateway that the wanted file names. `limits` has one for each pair of site and
+    `states` has at most one entry for each gateway that the wanted file names. `limits` has one for each pair of site and
     source that was slow; an entry goes once the pair is fast again, and all go when the wanted set changes. `waiting`:
     revenue at each gateway as of the last announcement; maintained by `WeightsWork`.
     """
@@ -52,7 +52,7 @@
     def __init__(self, wanted: Wanted, waiting: Mapping[int, float] = NO_REVENUE) -> None:
         self.wanted, self.waiting = wanted, waiting
         self.site_of = {number: name for name, site in wanted.sites.items() for number in site.gateways}
-        self.heard: dict[int, GatewayState] = {}
+        self.states: dict[int, GatewayState] = {}
         self.chosen: dict[str, int] = {}  # the receiving gateway of each site
         self.limits: dict[tuple[str, str], int] = {}  # bytes a second, of slow pairs of site and source
         # Gateways that did not answer: how often in a row, and when last.
@@ -63,48 +63,48 @@
     def renew(self, wanted: Wanted) -> None:
         self.wanted = wanted
         self.site_of = {number: name for name, site in wanted.sites.items() for number in site.gateways}
-        heard, self.heard = self.heard, {}
-        for state in heard.values():
+        states, self.states = self.states, {}
+        for state in states.values():
             self.report(state.at, state.report)
         self.chosen = {
             site: number for site, number in self.chosen.items() if self.site_of.get(number) == site
         }
         self.limits.clear()
-        self.misses = {number: one for number, one in self.misses.items() if number in self.site_of}
+        self.misses = {number: miss for number, miss in self.misses.items() if number in self.site_of}
 
     def report(self, now: Time, report: Report) -> bool:
         """Stores a report. False if it is not from these sites, or older than the one known."""
         if self.site_of.get(report.gateway) != report.site:
             return False
-        old = self.heard.get(report.gateway)
+        old = self.states.get(report.gateway)
         if old is not None and old.mark.start == report.mark.start and old.mark.at > report.mark.at:
             return False
         if old is not None and old.mark.start != report.mark.start:
             self.misses.pop(report.gateway, None)  # the gateway has restarted
-        heard = GatewayState(report, now)
+        state = GatewayState(report, now)
         for have in report.have:
             version, model = (have.model, have.version), self.wanted.models.get(have.model)
             if model is None or have.version != model.version or have.whole != model.manifest.whole:
                 continue
-            heard.have[version] = model.manifest.full if have.placed else forms.pieces(have.pieces)
+            state.have[version] = model.manifest.full if have.placed else forms.pieces(have.pieces)
             if have.placed:
-                heard.placed.add(version)
+                state.placed.add(version)
             if have.known:
-                heard.known.add(version)
+                state.known.add(version)
             if have.released and have.placed:
-                heard.released.add(version)
-        self.heard[report.gateway] = heard
+                state.released.add(version)
+        self.states[report.gateway] = state
         return True
 
     def recent(self, number: int, now: Time) -> GatewayState | None:
         """The gateway's state, unless its report is older than `MAX_MARK_AGE`."""
-        one = self.heard.get(number)
-        return one if one is not None and now - one.at < MAX_MARK_AGE else None
+        state = self.states.get(number)
+        return state if state is not None and now - state.at < MAX_MARK_AGE else None
 
     def last_receiver(self, site: str) -> GatewayState | None:
         """The receiver that was chosen last, with its last report of whatever age."""
         number = self.chosen.get(site)
-        return None if number is None else self.heard.get(number)
+        return None if number is None else self.states.get(number)
 
     def record_timeout(self, number: int, now: Time) -> None:
         """Records a grant without an answer. The gateway gets no other before its next report.
@@ -119,21 +119,21 @@
     def answered(self, number: int) -> None:
         self.misses.pop(number, None)
 
-    def reachable(self, heard: GatewayState, now: Time) -> bool:
+    def reachable(self, gateway: GatewayState, now: Time) -> bool:
         """Whether the gateway may get grants: it has reported since its last miss, and its back-off is over."""
-        count, at = self.misses.get(heard.report.gateway, (0, 0))
+        count, at = self.misses.get(gateway.report.gateway, (0, 0))
         wait = min(LONGEST_WAIT, FIRST_WAIT << min(count, 10)) if count > 1 else 0
-        return not count or (heard.at > at and now >= at + wait)
+        return not count or (gateway.at > at and now >= at + wait)
 
     def receiver(self, site: str, now: Time) -> GatewayState | None:
         """The receiver chosen before while it reports; else the gateway with most pieces, the first listed of equals."""
         number = self.chosen.get(site)
-        if number is not None and (one := self.recent(number, now)) is not None:
-            return one
+        if number is not None and (state := self.recent(number, now)) is not None:
+            return state
         candidates = [
-            one
+            state
             for number in self.wanted.sites[site].gateways
-            if (one := self.recent(number, now)) is not None
+            if (state := self.recent(number, now)) is not None
         ]
         if not candidates:
             return None
--- a/stackpitch/duties/weights/settings.py
+++ b/stackpitch/duties/weights/settings.py
@@ -1,4 +1,4 @@
-"""This duty's settings, under `duties.weights`."""
+"""The settings of weights distribution, under `duties.weights`."""
 
 from stackpitch.settings.model import WeightsSettings
 
--- a/stackpitch/duties/weights/upkeep.py
+++ b/stackpitch/duties/weights/upkeep.py
@@ -1,7 +1,7 @@
-"""What an owner does at each site beside grants: asks what is there, sends manifests, releases what may go into service.
+"""The owner's work at each site besides grants: asks for reports, sends manifests, releases versions into service.
 
-While something is missing anywhere, every site is asked each second unless its reports come by themselves: also one that
-has all, as its neighbours may fetch from it. When nothing is, each site is asked every half minute.
+While something is missing anywhere, every site is asked each second unless its reports come by themselves. That includes
+complete sites, as their neighbours may fetch from them. When nothing is missing, each is asked every half minute.
 """
 
 from collections.abc import Callable
@@ -14,71 +14,80 @@
 from stackpitch.duties.weights.plan.site_states import GatewayState
 from stackpitch.loop import SECOND, Coro, Group, Time
 
-MOST_CALLS = 64  # under way at once, beside grants
-ASKED: Time = SECOND  # between questions, while something is missing
-LONGEST: Time = 8 * SECOND  # and to one that gives no answer
-REST: Time = 30 * SECOND  # to one that has all, when nothing is missing anywhere: it may have lost it
-AGAIN: Time = 2 * SECOND  # a place or release, until a report shows it
-GIVEN_UP = 4  # questions without an answer, after which a site keeps the others from rest no longer
+MAX_CALLS = 64  # in progress at once, besides grants
+ASK_PERIOD: Time = SECOND  # between requests for a report while something is missing
+MAX_ASK_PERIOD: Time = 8 * SECOND  # for a gateway that does not answer
+IDLE_ASK_PERIOD: Time = 30 * SECOND  # when nothing is missing anywhere; a site may have lost files
+RETRY_PERIOD: Time = 2 * SECOND  # of a place or release, until a report shows its effect
+MAX_TRIES = 4  # requests without an answer, after which a site no longer keeps the others from idling
 
 Send = Callable[[int, str, Any], Coro[None]]  # to a gateway: kind and body
 
 
 class Upkeep:
-    """`admits`: whether a vocabulary may be in service. `asked`, `tries` and `told` have an entry for each gateway or each
-    of its models; all go with the tenure."""
+    """The calls to the sites. `admits`: whether a vocabulary may be in service.
+
+    `asked`, `tries` and `sent` have an entry for each gateway or each of its models; all go with the tenure.
+    """
 
     def __init__(self, planner: Planner, send: Send, admits: Callable[[str], bool]) -> None:
         self.planner, self.send, self.admits = planner, send, admits
         self.asked: dict[int, Time] = {}
         self.tries: dict[int, int] = {}
-        self.told: dict[tuple[int, str, str], Time] = {}
+        self.sent: dict[tuple[int, str, str], Time] = {}
         self.calls = 0
 
     def turn(self, group: Group, now: Time) -> bool:
-        """All that is due; whether anything is still missing."""
+        """Starts the calls that are due. Whether anything is still missing."""
         planner = self.planner
-        shall: dict[str, list[str]] = {site: [] for site in planner.wanted.sites}
+        wanted_models: dict[str, list[str]] = {site: [] for site in planner.wanted.sites}
         for name, model in planner.wanted.models.items():
             for site in model.sites:
-                shall[site].append(name)
-        rest = not planner.unconfirmed and all(self._rests(site, names) for site, names in shall.items())
-        for site, names in shall.items():
-            if (heard := planner.sites.receiver(site, now)) is not None:
-                self._site(group, heard, names, now)
-            self._questions(group, site, heard, rest, now)
+                wanted_models[site].append(name)
+        idle = not planner.unconfirmed and all(
+            self._is_complete(site, names) for site, names in wanted_models.items()
+        )
+        for site, names in wanted_models.items():
+            if (receiver := planner.sites.receiver(site, now)) is not None:
+                self._send_due(group, receiver, names, now)
+            self._ask_site(group, site, receiver, idle, now)
         for number in sorted(
-            one for one in planner.unconfirmed if one >= 0 and one not in planner.sites.site_of
+            gateway
+            for gateway in planner.unconfirmed
+            if gateway >= 0 and gateway not in planner.sites.site_of
         ):
-            self._ask(group, number, "", now, ASKED)  # of an older file; they only have to hear this term
-        return not rest
+            # Named by an older file; these gateways only have to confirm this term.
+            self._ask(group, number, "", now, ASK_PERIOD)
+        return not idle
 
     def answered(self, number: int) -> None:
+        """A gateway answered a call."""
         self.tries.pop(number, None)
 
     def renewed(self) -> None:
-        self.told.clear()
+        """Another wanted set is in force: sends what is due at once."""
+        self.sent.clear()
 
-    def _rests(self, site: str, names: list[str]) -> bool:
-        """By what was heard last, however long ago."""
+    def _is_complete(self, site: str, names: list[str]) -> bool:
+        """Whether nothing is missing at the site, by its last report of whatever age."""
         planner = self.planner
         last = planner.sites.last_receiver(site)
-        if last is None or self.tries.get(last.report.gateway, 0) >= GIVEN_UP:
+        if last is None or self.tries.get(last.report.gateway, 0) >= MAX_TRIES:
             return all(
-                self.tries.get(number, 0) >= GIVEN_UP for number in planner.wanted.sites[site].gateways
+                self.tries.get(number, 0) >= MAX_TRIES for number in planner.wanted.sites[site].gateways
             )
         return all((name, planner.wanted.models[name].version) in last.released for name in names)
 
-    def _site(self, group: Group, heard: GatewayState, names: list[str], now: Time) -> None:
+    def _send_due(self, group: Group, receiver: GatewayState, names: list[str], now: Time) -> None:
         for name in names:
             model = self.planner.wanted.models[name]
             version, manifest = (name, model.version), model.manifest
-            if version in heard.released:
+            if version in receiver.released:
                 continue
-            if version not in heard.known:
-                self._tell(
+            if version not in receiver.known:
+                self._send_repeated(
                     group,
-                    heard,
+                    receiver,
                     "place",
                     forms.Place(
                         name,
@@ -89,46 +98,52 @@
                         tuple(manifest.pieces),
                     ),
                     now,
-                    AGAIN,
+                    RETRY_PERIOD,
+                )
+            elif version in receiver.placed and (not model.vocabulary or self.admits(model.vocabulary)):
+                self._send_repeated(
+                    group, receiver, "service", forms.Release(name, model.version), now, RETRY_PERIOD
+                )
+        for version_state in receiver.report.have:
+            if version_state.model not in names:
+                self._send_repeated(
+                    group, receiver, "service", forms.Release(version_state.model, ""), now, 5 * RETRY_PERIOD
                 )
-            elif version in heard.placed and (not model.vocabulary or self.admits(model.vocabulary)):
-                self._tell(group, heard, "service", forms.Release(name, model.version), now, AGAIN)
-        for one in heard.report.have:
-            if one.model not in names:
-                self._tell(group, heard, "service", forms.Release(one.model, ""), now, 5 * AGAIN)
-
-    def _questions(self, group: Group, site: str, heard: GatewayState | None, rest: bool, now: Time) -> None:
-        last = heard if heard is not None else self.planner.sites.last_receiver(site)
-        at_rest = rest and last is not None and self.tries.get(last.report.gateway, 0) < GIVEN_UP
+
+    def _ask_site(
+        self, group: Group, site: str, receiver: GatewayState | None, idle: bool, now: Time
+    ) -> None:
+        last = receiver if receiver is not None else self.planner.sites.last_receiver(site)
+        ask_seldom = idle and last is not None and self.tries.get(last.report.gateway, 0) < MAX_TRIES
         for number in self.planner.wanted.sites[site].gateways:
             if number in self.planner.unconfirmed:
-                self._ask(group, number, site, now, ASKED)
-            elif at_rest and last is not None:
-                if number == last.report.gateway and now - last.at >= REST:
-                    self._ask(group, number, site, now, ASKED)
-            elif heard is None or (number == heard.report.gateway and now - heard.at >= ASKED):
-                self._ask(group, number, site, now, ASKED)
+                self._ask(group, number, site, now, ASK_PERIOD)
+            elif ask_seldom and last is not None:
+                if number == last.report.gateway and now - last.at >= IDLE_ASK_PERIOD:
+                    self._ask(group, number, site, now, ASK_PERIOD)
+            elif receiver is None or (number == receiver.report.gateway and now - receiver.at >= ASK_PERIOD):
+                self._ask(group, number, site, now, ASK_PERIOD)
 
     def _ask(self, group: Group, number: int, site: str, now: Time, every: Time) -> None:
-        late = min(LONGEST, every << min(self.tries.get(number, 0), 3))
-        if self.calls < MOST_CALLS and now >= self.asked.get(number, now - late) + late:
+        period = min(MAX_ASK_PERIOD, every << min(self.tries.get(number, 0), 3))
+        if self.calls < MAX_CALLS and now >= self.asked.get(number, now - period) + period:
             self.asked[number] = now
             self.tries[number] = self.tries.get(number, 0) + 1
             self._spawn(group, number, "begin", forms.Begin(site))
 
-    def _tell(
+    def _send_repeated(
         self,
         group: Group,
-        heard: GatewayState,
+        receiver: GatewayState,
         kind: str,
         body: forms.Place | forms.Release,
         now: Time,
         every: Time,
     ) -> None:
-        number = heard.report.gateway
+        number = receiver.report.gateway
         key = number, kind, body.model
-        if self.calls < MOST_CALLS and now >= self.told.get(key, now - every) + every:
-            self.told[key] = now
+        if self.calls < MAX_CALLS and now >= self.sent.get(key, now - every) + every:
+            self.sent[key] = now
             self.planner.serial += 1
             self._spawn(group, number, kind, msgspec.structs.replace(body, serial=self.planner.serial))
 
--- a/stackpitch/duties/weights/wantedfile.py
+++ b/stackpitch/duties/weights/wantedfile.py
@@ -1,4 +1,4 @@
-"""The wanted file as it changes: the last good one stays in force, also while a newer one is wrong, and over a restart."""
+"""Follows the wanted file. The last valid version stays in force while a newer one is invalid, and over a restart."""
 
 from functools import partial
 from pathlib import Path
@@ -11,37 +11,37 @@
 
 
 class WantedFile:
-    """`kept`: where the last good one outlives the process; read at the first look."""
+    """The wanted file. `kept`: stores the last valid version across restarts; read at the first `look`."""
 
     def __init__(self, world: World, path: Path, kept: LastGood) -> None:
         self.world, self.path, self.kept = world, path, kept
-        self.begun = False
+        self.loaded = False
         self.current: Wanted | None = None
-        self.rejected: WantedRejected | None = None  # what is wrong with the file as it is now
-        self.seen: tuple[int, ...] = ()  # of the file that was read last
+        self.rejected: WantedRejected | None = None  # the errors of the file as it is now
+        self.seen: tuple[int, ...] = ()  # modification time, size and inode of the file that was read last
 
     def look(self) -> Coro[bool]:
-        """Reads it if it has changed; whether anything is new, be it good or wrong."""
+        """Reads the file if it has changed. Whether it was read, valid or not."""
 
-        def looked() -> tuple[tuple[int, ...], Wanted | WantedRejected | None, Wanted | None]:
-            last = self.current if self.begun else self.kept.load()
+        def read_if_changed() -> tuple[tuple[int, ...], Wanted | WantedRejected | None, Wanted | None]:
+            last = self.current if self.loaded else self.kept.load()
             try:
-                one = self.path.stat()
-                seen: tuple[int, ...] = one.st_mtime_ns, one.st_size, one.st_ino
+                stat = self.path.stat()
+                seen: tuple[int, ...] = stat.st_mtime_ns, stat.st_size, stat.st_ino
             except OSError:
                 seen = (0,)
             if seen == self.seen:
                 return seen, None, last
             try:
                 return seen, read(self.path), last
-            except WantedRejected as wrong:
-                return seen, wrong, last
+            except WantedRejected as error:
+                return seen, error, last
 
         before = self.current
-        self.seen, found, self.current = yield from self.world.run_blocking(looked)
-        self.begun = True
-        if isinstance(found, Wanted) and (wrong := self._changed(found)) is not None:
-            found = wrong
+        self.seen, found, self.current = yield from self.world.run_blocking(read_if_changed)
+        self.loaded = True
+        if isinstance(found, Wanted) and (rejection := self._changed(found)) is not None:
+            found = rejection
         if isinstance(found, Wanted):
             self.current, self.rejected = found, None
         elif found is not None:
@@ -51,7 +51,7 @@
         return found is not None
 
     def _changed(self, wanted: Wanted) -> WantedRejected | None:
-        """Versions that got another manifest."""
+        """The error if a version has another manifest than before."""
         lines = []
         for name, model in wanted.models.items():
             old = self.current.models.get(name) if self.current is not None else None
--- a/stackpitch/duties/weights/work.py
+++ b/stackpitch/duties/weights/work.py
@@ -1,4 +1,4 @@
-"""The duty `weights` as the ground asks for it: owner and receiver of one gateway."""
+"""The coordinated task `weights` of one gateway: its owner part and its receiver part."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -20,18 +20,18 @@
 from stackpitch.loop import MS, SECOND, Coro, Group, Time, World
 from stackpitch.wire.decoding import decode
 
-LOOK: Time = 2 * SECOND  # at the wanted file
-SOON: Time = 100 * MS  # between two reports while something changes
-STEADY: Time = SECOND // 2  # while something is fetched
+FILE_POLL_PERIOD: Time = 2 * SECOND  # of the wanted file
+CHANGE_REPORT_PERIOD: Time = 100 * MS  # while something changes
+FETCH_REPORT_PERIOD: Time = SECOND // 2  # while something is fetched
 
 
-def numbered(gateway: int) -> str:
-    """A neighbour's address as a grant carries it."""
+def gateway_address(gateway: int) -> str:
+    """A gateway's address as a grant carries it."""
     return f"#{gateway}"
 
 
 class NoEngines:
-    """Where nobody says what runs on which weights: all may be in use, so nothing is removed."""
+    """Used where it is unknown which weights engines run on: all may be in use, so nothing is removed."""
 
     def used(self, model: str, version: str) -> bool:
         return True
@@ -41,8 +41,11 @@
 
 
 class WeightsWork:
-    """`start`: a number of this process's own. `address`: where a gateway's pieces are served, host:port, by number.
-    `admits`: whether servers may run on this vocabulary. `revenue`: what waits at this gateway."""
+    """The owner and the receiver of one gateway.
+
+    `start`: a random number that identifies this process. `address`: host:port at which a gateway serves its pieces, by
+    number. `admits`: whether servers may run on this vocabulary. `revenue`: of the requests that wait at this gateway.
+    """
 
     name = "weights"
 
@@ -67,14 +70,13 @@
         self.receiver = Receiver(world, ground.number, start, folder, engines or NoEngines(), revenue, log)
         self.owner: Owner | None = None
         self.reported: Time = 0
-        self.waiting: dict[
-            int, float
-        ] = {}  # revenue by gateway, as the last announcement found it; emptied as tenures begin
+        # Revenue by gateway as of the last announcement; emptied as tenures begin.
+        self.waiting: dict[int, float] = {}
 
     def own(self, tenure: Tenure, value: bytes) -> Coro[None]:
         self.waiting.clear()
         owner = self.owner = Owner(
-            self.world, tenure, self.file, numbered, self.admits, self.log, self.waiting
+            self.world, tenure, self.file, gateway_address, self.admits, self.log, self.waiting
         )
         try:
             yield from owner.run(value)
@@ -87,9 +89,9 @@
 
     def announced(self, number: int, body: msgspec.Raw | None) -> None:
         self.waiting.pop(number, None)
-        said = None if body is None else decode(body, type=forms.Present | None)
-        if said is not None:  # a gateway of an older version says nothing
-            self.waiting[number] = said.revenue
+        present = None if body is None else decode(body, type=forms.Present | None)
+        if present is not None:  # a gateway of an older program version sends none
+            self.waiting[number] = present.revenue
 
     def heard(self, sender: int, kind: str, stamp: Stamp, body: msgspec.Raw) -> Coro[Answer]:
         if kind == "report":
@@ -108,9 +110,8 @@
             word = self.receiver.place(stamp, decode(body, type=forms.Place))
         elif kind == "grant":
             grant = decode(body, type=Grant)
-            if grant.address.startswith(
-                "#"
-            ):  # a neighbour is where this gateway reaches it, not where the owner does
+            # The address at which this gateway reaches the neighbour may differ from the owner's.
+            if grant.address.startswith("#"):
                 grant = msgspec.structs.replace(grant, address=self.address(self._neighbour(grant.address)))
             word = self.receiver.grant(stamp, grant)
         elif kind == "service":
@@ -132,31 +133,33 @@
             while True:
                 news = yield from self.file.look()
                 if self.file.kept.trouble != trouble and (trouble := self.file.kept.trouble):
-                    unkept = WantedNotKept(trouble)
-                    self.log(f"weights_{unkept.word}", why=str(unkept), remedy=unkept.remedy)
+                    error = WantedNotKept(trouble)
+                    self.log(f"weights_{error.word}", why=str(error), remedy=error.remedy)
                 if news:
                     if self.file.rejected is not None:
-                        wrong = self.file.rejected
+                        rejection = self.file.rejected
                         in_force = self.file.current.version if self.file.current is not None else None
                         self.log(
                             "weights_wanted_rejected",
-                            why=wrong.complaints,
-                            remedy=wrong.remedy,
+                            why=rejection.complaints,
+                            remedy=rejection.remedy,
                             in_force=in_force,
                         )
                     elif self.owner is not None:
                         self.owner.wake()
-                yield from self.world.sleep(LOOK)
+                yield from self.world.sleep(FILE_POLL_PERIOD)
 
         yield from self.world.group(body)
 
     def _reports(self) -> Coro[None]:
-        """Only while something changes or is fetched; else the owner asks if it wants to know."""
+        """Sends reports while something changes or is fetched; at other times the owner asks for them."""
         receiver = self.receiver
         while True:
-            yield from self.world.sleep(SOON)
+            yield from self.world.sleep(CHANGE_REPORT_PERIOD)
             since, owner = self.world.now() - self.reported, self.ground.owner(self.name)
-            due = (receiver.changed and since >= SOON) or (receiver.fetches.tasks and since >= STEADY)
+            due = (receiver.changed and since >= CHANGE_REPORT_PERIOD) or (
+                receiver.fetches.tasks and since >= FETCH_REPORT_PERIOD
+            )
             if due and owner is not None and receiver.site:
                 self.reported = self.world.now()
                 yield from self.ground.ask(owner, self.name, "report", receiver.report())
