--- a/stackpitch/rehearse/broken/weights.py
+++ b/stackpitch/rehearse/broken/weights.py
@@ -7,12 +7,12 @@
 
 def unpaced() -> None:
     """A receiver takes all that it is granted at once: grants' rates count for nothing."""
-    from stackpitch.duties.weights.grants.pace import Pace
+    from stackpitch.duties.weights.grants.rate_limiter import RateLimiter
 
-    def all_of_it(self: Pace, now: Time, most: int) -> int:
+    def all_of_it(self: RateLimiter, now: Time, most: int) -> int:
         return most if now < self.ends else 0
 
-    Pace.take = all_of_it  # type: ignore[method-assign]
+    RateLimiter.take = all_of_it  # type: ignore[method-assign]
 
 
 def classless() -> None:
@@ -45,10 +45,10 @@
     from stackpitch.duties.weights.placing.copy import Copy
     from stackpitch.duties.weights.receiving.pieces import Pieces
 
-    came = Pieces.came
+    add_data = Pieces.add_data
 
     def any_of_it(self: Pieces, piece: int, data: bytes, source: str) -> bool | None:
-        right = came(self, piece, data, source)
+        right = add_data(self, piece, data, source)
         if right is False:
             self.have |= 1 << piece
         return None if right is None else True
@@ -57,8 +57,8 @@
         disk = self.folder.disk
         yield
         disk.sync(self._file())
-        disk.rename(self.partial, self.place)
-        disk.sync_folder(self.place.rpartition("/")[0])
+        disk.rename(self.partial_path, self.placed_path)
+        disk.sync_folder(self.placed_path.rpartition("/")[0])
         self.placed = True
 
-    Pieces.came, Copy.finish = any_of_it, at_once  # type: ignore[method-assign]
+    Pieces.add_data, Copy.finish = any_of_it, at_once  # type: ignore[method-assign]
