--- a/stackpitch/benchlink/host.py
+++ b/stackpitch/benchlink/host.py
@@ -302,7 +302,7 @@
     for line_number, message, values in lines:
         if message == "BATCH":
             if batch >= 0:
-                raise WireError(f"line {line_number}: BATCH before the EOF_BATCH of the previous batch")
+                raise WireError(f"line {line_number}: BATCH before the last one's EOF_BATCH")
             now, batch = values
             who, touched, faults = -1, {}, {}
             continue
@@ -355,7 +355,7 @@
             elif message in HANDLERS:
                 HANDLERS[message](instance, *values)
             else:
-                raise WireError(f"line {line_number}: {message} is not allowed here")
+                raise WireError(f"line {line_number}: {message} is out of place")
         except WireError:
             raise
         except BadField as field:
--- a/stackpitch/duties/weights/serving.py
+++ b/stackpitch/duties/weights/serving.py
@@ -52,7 +52,7 @@
         except WeightsError:
             data = b""
         if len(data) != size:
-            return False if head_sent else refuse(404, "these pieces can't be read from the disk")
+            return False if head_sent else refuse(404, "the disk does not give them")
         stream.write(data if head_sent else http.head(206, headers) + data)
         head_sent = True
         with world.limit(WRITE_TIMEOUT) as scope:
--- a/stackpitch/gateway/client_listener.py
+++ b/stackpitch/gateway/client_listener.py
@@ -212,7 +212,7 @@
         if (reason := self._accept_denial()) is not None:
             self._record_denied(stream, reader, reason)
             yield from self._send_error(
-                stream, 503, "stopping", "the gateway is stopping; try another one", True, self.retry_after
+                stream, 503, "stopping", "the gateway stops; try another", True, self.retry_after
             )
             return False
         try:
@@ -231,7 +231,7 @@
             raise
         except Exception as error:  # a request that was read is owed a response, whatever is unusual about it
             self.log.exception("request_raised", why=str(error))
-            raise http.BadMessage(500, "internal error while reading the request") from None
+            raise http.BadMessage(500, "this request could not be worked with") from None
         reader.pieces = []
         if (yield from self._serve_request(stream, reader, request)):
             return True
@@ -321,7 +321,7 @@
         if request.extra_bytes or reader.extra_bytes:
             self._close_reason[stream] = Closing.PIPELINED
             yield from self._send_error(
-                stream, 400, "pipelining_refused", "send the next request after the response", again=True
+                stream, 400, "pipelining_refused", "ask again once the answer is whole", again=True
             )
             return False
         return reader.keep_alive and not self.stopping and not request.close_after
--- a/stackpitch/gateway/client_request.py
+++ b/stackpitch/gateway/client_request.py
@@ -92,7 +92,7 @@
         nothing_ran = self.unsent.issuperset(self.gen.may_have_run())
         status = 429 if nothing_ran else 502
         self.refuse(
-            status, DEPARTED, "the client closed its sending side before the response", again=nothing_ran
+            status, DEPARTED, "the client ended its sending before its answer came", again=nothing_ran
         )
 
     @property
--- a/stackpitch/gateway/connection_closing.py
+++ b/stackpitch/gateway/connection_closing.py
@@ -116,7 +116,7 @@
         A request that crosses the close is read and discarded, and its client would be left without a
         response. On a reused connection clients retry such a request by themselves.
         """
-        body = error_body("no request arrived in time; try again", "no_request", "server_error")
+        body = error_body("no request came in time; try again", "no_request", "server_error")
         headers = [("x-should-retry", "true"), ("connection", "close")]
         try:
             stream.write(http.response(503, body, headers))
@@ -126,7 +126,7 @@
     def _reject_connection(self, stream: Stream) -> Coro[None]:
         try:
             yield from self._send_error(
-                stream, 503, "overfull", "too many connections; try again", again=True
+                stream, 503, "overfull", "no connection is free here; try again", again=True
             )
         finally:
             self.rejecting -= 1
@@ -177,5 +177,5 @@
 
     def _refuse_pipelining(self, stream: Stream) -> Coro[None]:
         yield from self._send_error(
-            stream, 400, "pipelining_refused", "send the next request after the response", again=False
+            stream, 400, "pipelining_refused", "ask again once the answer is whole", again=False
         )
--- a/stackpitch/gateway/facts.py
+++ b/stackpitch/gateway/facts.py
@@ -63,9 +63,9 @@
         try:
             fields = decode(body, type=dict[str, msgspec.Raw])
         except msgspec.DecodeError as error:
-            raise BadRequest("(body)", f"must be a JSON object: {error}") from None
+            raise BadRequest("(body)", f"a JSON object is wanted: {error}") from None
         if "kv_transfer_params" in fields:
-            raise BadRequest("kv_transfer_params", "reserved for the gateway and engines; not allowed here")
+            raise BadRequest("kv_transfer_params", "belongs to gateway and engines; not allowed here")
         product = self._product(headers, fields)
         prompt, shared, shared_bytes = self._prompt(target, fields)
         cache_key = self._text(fields, "prompt_cache_key")
@@ -108,7 +108,7 @@
         if not target.endswith("chat/completions"):
             raw = fields.get("prompt")
             if raw is None or bytes(raw)[:1] not in b'"[':
-                raise BadRequest("prompt", "must be a string or a list")
+                raise BadRequest("prompt", "a string or a list is wanted")
             return len(bytes(raw)), None, 0
         raw = fields.get("messages")
         try:
@@ -119,9 +119,9 @@
                     break
                 prefix.append(bytes(message))
         except msgspec.DecodeError as error:
-            raise BadRequest("messages", f"must be a list of messages with a role: {error}") from None
+            raise BadRequest("messages", f"a list of messages with a role is wanted: {error}") from None
         if not messages:
-            raise BadRequest("messages", "found none; at least one is required")
+            raise BadRequest("messages", "found none; at least one is wanted")
         joined = b"".join(prefix)
         return len(bytes(raw or b"")), xxhash.xxh3_64_hexdigest(joined) if joined else None, len(joined)
 
@@ -132,7 +132,7 @@
         try:
             return decode(fields[name], type=str | None)
         except msgspec.DecodeError:
-            raise BadRequest(name, "must be a string") from None
+            raise BadRequest(name, "a string is wanted") from None
 
     @staticmethod
     def _positive_int(fields: dict[str, msgspec.Raw], name: str) -> int | None:
--- a/stackpitch/gateway/host/commands.py
+++ b/stackpitch/gateway/host/commands.py
@@ -116,7 +116,9 @@
         """Refuses a generation whose client may safely retry."""
         gen.over = True
         request = self.requests[gen]
-        request.refuse(429, "throttled", "overloaded; a retry is safe", again=True, retry_after=retry_after)
+        request.refuse(
+            429, "throttled", "too much to do; another try does no harm", again=True, retry_after=retry_after
+        )
         self._forget_if_over(request)
 
     def terminate(self, gen: Generation) -> None:
@@ -124,9 +126,9 @@
         gen.over = True
         request = self.requests[gen]
         if request.begun:
-            request.fail_stream("terminated", "terminated; the request may have run")
+            request.fail_stream("terminated", "given up; it may have run")
         else:
-            request.refuse(502, "terminated", "terminated; the request may have run", again=False)
+            request.refuse(502, "terminated", "given up; it may have run", again=False)
         self._forget_if_over(request)
 
     def cancel(self, leg: Leg) -> None:
@@ -162,7 +164,7 @@
         request = self.requests[gen]
         if request.serving is not None and not gen.over:
             gen.over = True
-            request.fail_stream("moved", "the stream continues at another server; send the request again")
+            request.fail_stream("moved", "the stream goes on elsewhere: ask again")
             if (task := request.tasks.get(request.serving)) is not None:
                 task.cancel()
 
--- a/stackpitch/gateway/host/events.py
+++ b/stackpitch/gateway/host/events.py
@@ -219,9 +219,9 @@
             if not request.gen.over:
                 request.gen.over = True
                 if request.begun:
-                    request.fail_stream("stopping", "the gateway is stopping")
+                    request.fail_stream("stopping", "the gateway stops")
                 else:
-                    request.refuse(503, "stopping", "the gateway is stopping", again=False)
+                    request.refuse(503, "stopping", "the gateway stops", again=False)
             for task in list(request.tasks.values()):
                 task.cancel()
             self.backend.release(request)
--- a/stackpitch/gateway/metrics.py
+++ b/stackpitch/gateway/metrics.py
@@ -21,71 +21,67 @@
         registry = self.registry
         self.generations = Counter(
             "stackpitch_generations",
-            "Generations by how they ended, with those whose client left",
+            "Final answers, and clients that departed",
             ["product", "end"],
             registry=registry,
         )
         self.legs = Counter("stackpitch_legs", "Legs by outcome", ["role", "outcome"], registry=registry)
         self.first_token = Histogram(
             "stackpitch_first_token_seconds",
-            "From a request's arrival to the first token relayed",
+            "From arrival to the first token relayed",
             ["product"],
             buckets=FIRST_TOKEN_S,
             registry=registry,
         )
         self.refused = Counter(
             "stackpitch_refused",
-            "Connections and requests that were not accepted",
+            "What was not taken at the door",
             ["why"],
             registry=registry,
         )
-        self.releases = Counter(
-            "stackpitch_releases", "Releases of KV states and reservations", ["end"], registry=registry
-        )
+        self.releases = Counter("stackpitch_releases", "States and places let go", ["end"], registry=registry)
         self.releases_asked = Counter(
             "stackpitch_releases_asked",
-            "Releases that the decision module requested",
+            "Releases that the module asked for",
             ["why"],
             registry=registry,
         )
         self.state_held = Histogram(
             "stackpitch_state_held_seconds",
-            "From the end of a request's read to the answer of the server that released its KV state",
+            "From the end of a request's read to the answer of the worker that released its state",
             buckets=STATE_HELD_S,
             registry=registry,
         )
         self.mode_changes = Counter(
-            "stackpitch_log_lines", "Mode changes of the decision module", ["mode"], registry=registry
+            "stackpitch_log_lines", "Mode changes that the module logged", ["mode"], registry=registry
         )
         self.gossip_messages = Counter(
             "stackpitch_peer_words",
-            "Gossip messages between gateways by what became of them",
+            "Words between gateways by what became of them",
             ["end"],
             registry=registry,
         )
-        self.long_steps = Counter(
-            "stackpitch_hogs", "Steps of a task that blocked the event loop for too long", registry=registry
-        )
+        self.long_steps = Counter("stackpitch_hogs", "Steps of one task over the limit", registry=registry)
         self.relayed_bytes = Gauge(
-            "stackpitch_relayed_bytes", "Bytes of streams relayed to clients", registry=registry
+            "stackpitch_relayed_bytes", "Bytes of streams passed on", registry=registry
         )
         self.generations_held = Gauge(
             "stackpitch_generations_held",
-            "Generations in progress, or over with a leg still running",
+            "Taken and not over, or with a leg out",
             registry=registry,
         )
         self.connections = Gauge("stackpitch_connections", "Open connections", ["side"], registry=registry)
         self.roster_version = Gauge(
-            "stackpitch_roster_version", "Version of the server list in force", registry=registry
+            "stackpitch_roster_version", "Version of the list in force", registry=registry
         )
         self.rosters = Counter(
-            "stackpitch_lists", "Server lists by what became of them", ["word"], registry=registry
+            "stackpitch_lists", "Lists by what became of them", ["word"], registry=registry
         )
         self.store_failing = Gauge(
-            "stackpitch_store_trouble", "1 while server lists can't be persisted", registry=registry
+            "stackpitch_store_trouble", "1 while lists can't be kept", registry=registry
         )
         self.rosters_rejected = Counter(
-            "stackpitch_rosters_rejected", "Server lists that were not applied", registry=registry
+            "stackpitch_rosters_rejected", "Lists that were not applied", registry=registry
         )
 
     def register_weights(self, states: Callable[[], dict[str, int]], failing: Callable[[], bool]) -> Counter:
@@ -104,7 +100,7 @@
         ).set_function(lambda: float(failing()))
         return Counter(
             "stackpitch_weights_errors",
-            "Errors of weights by their name in the log",
+            "Errors of weights by their words in the log",
             ["word"],
             registry=registry,
         )
--- a/stackpitch/gateway/request_receiving.py
+++ b/stackpitch/gateway/request_receiving.py
@@ -90,9 +90,9 @@
                         self.body_bytes += reader.body_size - held
                         held = reader.body_size
                         if self.body_bytes > self.max_bodies:
-                            raise http.BadMessage(503, "too many request bytes are held; try again")
+                            raise http.BadMessage(503, "too much is held here; try again")
                 if scope.expired and not (reader.complete or (part == "head" and reader.head_done)):
-                    raise http.BadMessage(408, f"{part} was not complete after {limit // 10} ms")
+                    raise http.BadMessage(408, f"{part} was not whole after {limit // 10} ms")
                 self.body_bytes += reader.body_size - held
                 held = reader.body_size
         except BaseException:
--- a/stackpitch/platform/listener.py
+++ b/stackpitch/platform/listener.py
@@ -69,7 +69,7 @@
                 and not reader.extra_bytes
                 and not self.stopping
             )
-        raise http.BadMessage(404, f"no such path: {reader.method} {reader.path[:80]!r}")
+        raise http.BadMessage(404, f"found {reader.method} {reader.path[:80]!r}")
 
     def _parse_request(self, stream: Stream, reader: http.RequestParser, began: Time) -> ClientRequest:
         facts = platform.parse_request_head(reader.headers)
@@ -79,9 +79,9 @@
                 400, f"req-kind: found {facts.product[:30]!r}; allowed: {', '.join(self.products)}"
             )
         if any(gen.name == facts.name for gen in self.host.requests):
-            raise http.BadMessage(409, "req-id: a request with this id is still in progress")
+            raise http.BadMessage(409, "req-id: it is that of a request still open here")
         if not reader.body_size:
-            raise http.BadMessage(400, "the body is empty")  # every server would reject it
+            raise http.BadMessage(400, "a body is wanted")  # every server would reject it
         now = self.world.now()
         deadline = max(now + 1, began + facts.time_limit_ms * 10 - self.margin)
         gen = Generation(
--- a/stackpitch/wire/platform.py
+++ b/stackpitch/wire/platform.py
@@ -50,9 +50,7 @@
 def _optional_name(headers: Mapping[str, str], name: str) -> str | None:
     value = headers.get(name)
     if value is not None and not NAME.fullmatch(value):
-        raise BadMessage(
-            400, f"{name}: found {value[:30]!r}; allowed: 1 to 100 printable ASCII characters, no spaces"
-        )
+        raise BadMessage(400, f"{name}: found {value[:30]!r}; a word is wanted")
     return value
 
 
@@ -60,7 +58,7 @@
     """Parses the fields of a head; their names are in lower case. Raises BadMessage."""
     name = headers.get("req-id", "")
     if not ID.fullmatch(name):
-        raise BadMessage(400, f"req-id: found {name[:30]!r}; allowed: 16 hex digits")
+        raise BadMessage(400, f"req-id: found {name[:30]!r}; 16 hex digits are wanted")
     product = _optional_name(headers, "req-kind")
     if product is None:
         raise BadMessage(400, "req-kind is missing")
@@ -69,11 +67,11 @@
     for part in filter(None, (item.strip() for item in headers.get("req-extra", "").split(","))):
         key, equals, value = part.partition("=")
         if not equals or key in extra:
-            raise BadMessage(400, f"req-extra: found {part[:30]!r}; allowed: name=value, each name once")
+            raise BadMessage(400, f"req-extra: found {part[:30]!r}; name=value, once each, is wanted")
         extra[key] = value
     shared = extra.get("prefix")
     if shared is not None and not NAME.fullmatch(shared):
-        raise BadMessage(400, "req-extra: prefix: allowed: 1 to 100 printable ASCII characters, no spaces")
+        raise BadMessage(400, "req-extra: prefix is no word")
     lengths = [
         _integer(f"req-extra {key}", extra.get(key, "0"), MAX_TOK)
         for key in ("prefix_len", "prompt_len", "max_out")
